--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -86,7 +86,7 @@
 	e.counts = newCounts(e.metrics.Scope)
 	e.owners = owners.New(o.VM)
 	e.balancer = placing.New(placing.Options{
-		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, Delay: e.delays.get,
+		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, RTT: e.delays.get,
 	})
 	e.quarantine = quarantine.New(quarantine.Options{
 		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.part("quarantine"), Told: e.urgent,
@@ -250,7 +250,7 @@
 	if live, known := e.members.DomainLive(now); known && !e.leaving.Load() {
 		e.owners.Set(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
 	}
-	e.balancer.SetKeyDivision(e.owners.Divided())
+	e.balancer.SetKeyOwnerCount(e.owners.Divided())
 }
 
 // busy returns the requests of callers and other VMs whose answers are not wholly given.
--- a/edge/entry/talk.go
+++ b/edge/entry/talk.go
@@ -141,8 +141,8 @@
 	if s.Sum {
 		name = regionName(s.VM.Region)
 	}
-	e.balancer.SetPeer(now, name, &placing.Peer{
-		InFlight: s.InFlight, Demand: map[string]map[string]float64{s.VM.Region: s.Demand}, Sum: s.Sum, At: now,
+	e.balancer.SetPeerReport(now, name, &placing.PeerReport{
+		InFlight: s.InFlight, Demand: map[string]map[string]float64{s.VM.Region: s.Demand}, Aggregated: s.Sum, At: now,
 	})
 }
 
@@ -152,7 +152,7 @@
 	if d.Full == nil {
 		return
 	}
-	e.balancer.SetPeer(now, otherRegionSums, &placing.Peer{InFlight: d.Full.InFlight, Demand: d.Full.Demand, Sum: true, At: now})
+	e.balancer.SetPeerReport(now, otherRegionSums, &placing.PeerReport{InFlight: d.Full.InFlight, Demand: d.Full.Demand, Aggregated: true, At: now})
 	for _, seen := range d.Full.Seen {
 		e.members.ObserveFrom(seen.Name, peers.State{
 			At: now.Add(-seen.Age), Serving: seen.Serving, Leaving: seen.Leaving, Linked: seen.Linked,
--- a/edge/exchange/counts.go
+++ b/edge/exchange/counts.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Counts are requests in flight by the key of their target, see placing.KeyOf. A
+// Counts are requests in flight by the key of their target, see placing.TargetKey. A
 // listener tells those of all targets, so they are sent as bytes: the sorted keys,
 // each as its distance to the one before, with its count. That takes a third of a map.
 type Counts map[uint32]int
--- a/edge/gateway/fixture_test.go
+++ b/edge/gateway/fixture_test.go
@@ -152,7 +152,7 @@
 	l.SetOutput(f)
 	l.SetFormatter(&logrus.JSONFormatter{})
 	delay := func(string) time.Duration { return time.Millisecond }
-	board := placing.New(placing.Options{VM: "vm", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"}, Delay: delay})
+	board := placing.New(placing.Options{VM: "vm", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"}, RTT: delay})
 	f.Gateway = New(Options{
 		Fields: fields, Balancer: board, Logger: logrus.NewEntry(l), Metrics: noMetrics{}, RetryRatio: 0.2, RetryExtra: 50,
 		VMs: func() int { return 1 }, Delay: delay, Changed: func() {}, MaxAnswerBytes: 1 << 20,
--- a/edge/gateway/gateway.go
+++ b/edge/gateway/gateway.go
@@ -116,10 +116,10 @@
 		connections[name] = service.MaxConnections
 	}
 	g.connections.Store(&connections)
-	list := make([]placing.Listing, 0, len(v.Targets))
+	list := make([]placing.TargetSpec, 0, len(v.Targets))
 	listed := make(map[string]bool, len(v.Targets))
 	for _, t := range v.Targets {
-		list = append(list, placing.Listing{Target: t.Target, ColdUntil: t.LearntAt.Add(t.ColdFor)})
+		list = append(list, placing.TargetSpec{Target: t.Target, ColdUntil: t.LearntAt.Add(t.ColdFor)})
 		listed[poolKey(&t.Target)] = true
 	}
 	g.options.Balancer.SetTargets(now, v.Config.Services, list, v.Evacuated)
--- a/edge/gateway/probe.go
+++ b/edge/gateway/probe.go
@@ -16,14 +16,14 @@
 
 // Probe asks the suspects for their health and readmits those that are well.
 func (g *Gateway) Probe(ctx context.Context, healthPath func(service string) string) {
-	for _, t := range g.options.Balancer.Suspects(time.Now()) {
+	for _, t := range g.options.Balancer.DueProbes(time.Now()) {
 		go g.probe(ctx, t, healthPath(t.Service))
 	}
 }
 
 func (g *Gateway) probe(ctx context.Context, t *placing.Target, path string) {
 	well, coldFor, err := g.askHealth(ctx, t, path)
-	g.options.Balancer.Probed(time.Now(), t, well, coldFor)
+	g.options.Balancer.RecordProbe(time.Now(), t, well, coldFor)
 	g.options.Logger.WithError(err).WithField("target", t.ID).WithField("well", well).
 		WithField("cold_ms", coldFor.Milliseconds()).Info("gateway: target probed")
 }
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -83,7 +83,7 @@
 func (g *Gateway) place(ctx context.Context, j *job) (placing.Decision, outcome) {
 	began := time.Now()
 	d, w := g.options.Balancer.Place(began, &j.ask)
-	j.ask.Again = true
+	j.ask.AlreadyCounted = true
 	if w != nil {
 		g.options.Changed()
 		select {
@@ -285,10 +285,10 @@
 var errNoStamp = errors.New("gateway: success without the target's mark")
 
 // endOf tells the board how a sending ended.
-func (g *Gateway) endOf(ctx context.Context, t try) placing.End {
+func (g *Gateway) endOf(ctx context.Context, t try) placing.Outcome {
 	switch {
 	case t.answer != nil && isServerError(t.answer):
-		return placing.Broken
+		return placing.Failed
 	case t.answer != nil:
 		return placing.Answered
 	case t.code == result.TargetShed:
@@ -298,7 +298,7 @@
 	case t.code == result.ConnectFailed && !errors.Is(t.err, pool.ErrFull):
 		return placing.Unreachable
 	}
-	return placing.Broken
+	return placing.Failed
 }
 
 func isServerError(a *forward.Answer) bool { return a.Status >= http.StatusInternalServerError }
--- a/edge/placing/affinity_test.go
+++ b/edge/placing/affinity_test.go
@@ -10,9 +10,9 @@
 func fourTargets(now time.Time, vm string) *Balancer {
 	b := New(Options{
 		VM: vm, Zone: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"},
-		Delay: func(string) time.Duration { return time.Millisecond },
+		RTT: func(string) time.Duration { return time.Millisecond },
 	})
-	b.SetTargets(now, services(0), []Listing{listing("t1"), listing("t2"), listing("t3"), listing("t4")}, nil)
+	b.SetTargets(now, services(0), []TargetSpec{listing("t1"), listing("t2"), listing("t3"), listing("t4")}, nil)
 	return b
 }
 
@@ -54,7 +54,7 @@
 		for vm := range 3 {
 			b, class := fourTargets(now, fmt.Sprint("vm", vm)), NewClass(time.Second)
 			first, _ := b.Place(now, keyRequest(now, class, key))
-			b.SetPeer(now, "other", &Peer{InFlight: map[uint32]int{KeyOf(first.Target.hash): 20}, At: now})
+			b.SetPeerReport(now, "other", &PeerReport{InFlight: map[uint32]int{TargetKey(first.Target.hash): 20}, At: now})
 			next, _ := b.Place(now, keyRequest(now, class, key))
 			if next.Target == nil || next.Target == first.Target {
 				t.Fatalf("key %d: decision %+v", key, next)
--- a/edge/placing/balancer.go
+++ b/edge/placing/balancer.go
@@ -27,8 +27,8 @@
 	VM, Zone, Region string
 	// RegionOf maps a failure domain to its region.
 	RegionOf map[string]string
-	// Delay is the network's to a region and back.
-	Delay func(region string) time.Duration
+	// RTT is the network's to a region and back.
+	RTT func(region string) time.Duration
 }
 
 // Balancer holds targets, wait queues and counts of one VM. It is safe for use by several
@@ -39,9 +39,9 @@
 
 	mu       sync.Mutex
 	services map[string]*service
-	peers    map[string]*Peer
+	peers    map[string]*PeerReport
 	reported report
-	// remote counts the requests of all peers, by KeyOf the target.
+	// remote counts the requests of all peers, by TargetKey the target.
 	remote map[uint32]*remoteCount
 	// vms are the names of the VMs of the own region among which work is divided, by hash.
 	vms []uint64
@@ -57,7 +57,7 @@
 func New(o Options) *Balancer {
 	return &Balancer{
 		options: o, hash: HashOf(o.VM),
-		services: make(map[string]*service), peers: make(map[string]*Peer), remote: make(map[uint32]*remoteCount),
+		services: make(map[string]*service), peers: make(map[string]*PeerReport), remote: make(map[uint32]*remoteCount),
 		tolerance: baseTolerance,
 	}
 }
@@ -72,7 +72,7 @@
 		return Decision{Reason: NoTarget, RetryAfter: maxRetryAfter}, nil
 	}
 	s.forgetLoads()
-	if !r.Again {
+	if !r.AlreadyCounted {
 		s.demand.add(now, r.work())
 		b.stepWeights(now, s)
 		s.weights.accrue(now)
@@ -81,7 +81,7 @@
 	if region == "" {
 		return Decision{Reason: NoTarget, RetryAfter: maxRetryAfter}, nil
 	}
-	if !r.Again {
+	if !r.AlreadyCounted {
 		s.weights.charge(region, b.tolerance)
 	}
 	if d, ok := b.assign(now, s, r, region); ok {
@@ -121,7 +121,7 @@
 // rejectLate refuses a request that would end after its latestEnd if it waited in the queue.
 func (b *Balancer) rejectLate(now time.Time, s *service, r *Request, region string) (Decision, bool) {
 	wait := time.Duration(float64(s.queue.backlog(r, now)) / s.pace(now, region))
-	end := now.Add(wait + r.work() + b.options.Delay(region))
+	end := now.Add(wait + r.work() + b.options.RTT(region))
 	if !end.After(r.latestEnd()) {
 		return Decision{}, false
 	}
--- a/edge/placing/balancer_test.go
+++ b/edge/placing/balancer_test.go
@@ -13,9 +13,9 @@
 func newBalancer(now time.Time) *Balancer {
 	b := New(Options{
 		VM: "vm", Zone: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"},
-		Delay: func(string) time.Duration { return time.Millisecond },
+		RTT: func(string) time.Duration { return time.Millisecond },
 	})
-	b.SetTargets(now, services(0), []Listing{listing("t1"), listing("t2")}, nil)
+	b.SetTargets(now, services(0), []TargetSpec{listing("t1"), listing("t2")}, nil)
 	return b
 }
 
@@ -23,8 +23,8 @@
 	return map[string]site.Service{serviceName: {Name: serviceName, ColdRate: coldRate, ColdTime: 3 * time.Second}}
 }
 
-func listing(id string) Listing {
-	return Listing{Target: site.Target{ID: id, Service: serviceName, Zone: "a1", Slots: 2}}
+func listing(id string) TargetSpec {
+	return TargetSpec{Target: site.Target{ID: id, Service: serviceName, Zone: "a1", Slots: 2}}
 }
 
 func request(now time.Time, class *Class) *Request {
@@ -46,21 +46,21 @@
 		}
 	}
 	now = now.Add(firstEjection)
-	if due := b.Suspects(now); len(due) != 1 || due[0] != bad {
+	if due := b.DueProbes(now); len(due) != 1 || due[0] != bad {
 		t.Fatalf("suspects %v", due)
 	}
-	if due := b.Suspects(now.Add(100 * time.Millisecond)); len(due) != 0 {
+	if due := b.DueProbes(now.Add(100 * time.Millisecond)); len(due) != 0 {
 		t.Fatal("probed again while a probe is under way")
 	}
-	b.Probed(now, bad, false, 0)
-	if due := b.Suspects(now.Add(firstEjection)); len(due) != 0 {
+	b.RecordProbe(now, bad, false, 0)
+	if due := b.DueProbes(now.Add(firstEjection)); len(due) != 0 {
 		t.Error("no longer pause after a failed probe")
 	}
 	now = now.Add(2 * firstEjection)
-	if due := b.Suspects(now); len(due) != 1 {
+	if due := b.DueProbes(now); len(due) != 1 {
 		t.Fatal("never probed again")
 	}
-	b.Probed(now, bad, true, time.Second)
+	b.RecordProbe(now, bad, true, time.Second)
 	if !bad.alive(now) || !now.Before(bad.coldTill) {
 		t.Error("not readmitted, or not as cold as it said")
 	}
@@ -71,7 +71,7 @@
 func TestEvacuatedTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b, class := newBalancer(now), NewClass(time.Second)
-	list := []Listing{listing("t1"), listing("t2")}
+	list := []TargetSpec{listing("t1"), listing("t2")}
 	b.SetTargets(now, services(5), list, map[string]bool{"a1": true})
 	if d, w := b.Place(now, request(now, class)); w != nil || d.Target != nil || d.Reason != NoTarget {
 		t.Fatalf("decision %+v in an evacuated domain", d)
@@ -118,8 +118,8 @@
 func filledByAnother(t *testing.T, now time.Time) (*Balancer, *Waiter) {
 	t.Helper()
 	b, class := newBalancer(now), NewClass(100*time.Millisecond)
-	full := map[uint32]int{KeyOf(HashOf("t1")): 2 + targetQueue, KeyOf(HashOf("t2")): 2 + targetQueue}
-	b.SetPeer(now, "other", &Peer{InFlight: full, At: now})
+	full := map[uint32]int{TargetKey(HashOf("t1")): 2 + targetQueue, TargetKey(HashOf("t2")): 2 + targetQueue}
+	b.SetPeerReport(now, "other", &PeerReport{InFlight: full, At: now})
 	_, w := b.Place(now, request(now, class))
 	if w == nil {
 		t.Fatal("a full target got a request")
@@ -146,7 +146,7 @@
 	now := time.Unix(1000, 0)
 	b, w := filledByAnother(t, now)
 	now = now.Add(peerTTL)
-	b.SetPeer(now, "third", &Peer{At: now})
+	b.SetPeerReport(now, "third", &PeerReport{At: now})
 	mustBeSent(t, w)
 }
 
@@ -198,15 +198,15 @@
 	b := newBalancer(now)
 	for range 2000 {
 		now = now.Add(time.Duration(r.IntN(300)) * time.Millisecond)
-		p := &Peer{InFlight: make(map[uint32]int), At: now.Add(-time.Duration(r.IntN(1500)) * time.Millisecond)}
+		p := &PeerReport{InFlight: make(map[uint32]int), At: now.Add(-time.Duration(r.IntN(1500)) * time.Millisecond)}
 		for range r.IntN(3) {
-			p.InFlight[KeyOf(HashOf(fmt.Sprintf("t%d", r.IntN(4))))] = r.IntN(5)
+			p.InFlight[TargetKey(HashOf(fmt.Sprintf("t%d", r.IntN(4))))] = r.IntN(5)
 		}
 		if r.IntN(10) == 0 {
 			p = nil
 		}
-		b.SetPeer(now, fmt.Sprint("vm", r.IntN(4)), p)
-		var list []Listing
+		b.SetPeerReport(now, fmt.Sprint("vm", r.IntN(4)), p)
+		var list []TargetSpec
 		for i := range r.IntN(5) {
 			list = append(list, listing(fmt.Sprintf("t%d", i)))
 		}
@@ -214,7 +214,7 @@
 		for _, target := range b.services[serviceName].targets {
 			want := 0
 			for _, p := range b.peers {
-				want += p.InFlight[KeyOf(target.hash)]
+				want += p.InFlight[TargetKey(target.hash)]
 			}
 			if target.remote.n != want {
 				t.Fatalf("%s: %d requests of others, want %d", target.ID, target.remote.n, want)
@@ -229,7 +229,7 @@
 	b := newBalancer(now)
 	b.SetVMs([]string{"vm"})
 	for _, rate := range []float64{2, 6, 0} {
-		b.SetTargets(now, services(rate), []Listing{listing("t1")}, nil)
+		b.SetTargets(now, services(rate), []TargetSpec{listing("t1")}, nil)
 		target := b.services[serviceName].targets["t1"]
 		if want := b.coldRate(b.services[serviceName], target); target.cold.rate != want || rate > 0 && want != rate {
 			t.Errorf("rate %v: part %v, want %v", rate, target.cold.rate, want)
@@ -253,7 +253,7 @@
 	}
 	restarted := listing(before.Target.ID)
 	restarted.Born = 5
-	b.SetTargets(now, services(0), []Listing{restarted}, nil)
+	b.SetTargets(now, services(0), []TargetSpec{restarted}, nil)
 	b.Done(now, again, class, Unreachable, 0)
 	after, w := b.Place(now, r)
 	if w != nil || after.Target == nil || after.Target == before.Target || after.Warm {
@@ -271,7 +271,7 @@
 	b, class := newBalancer(now), NewClass(time.Second)
 	elsewhere, other := listing("t3"), listing("t4")
 	elsewhere.Zone, other.Service = "nowhere", "unheard"
-	b.SetTargets(now, services(0), []Listing{elsewhere, other}, nil)
+	b.SetTargets(now, services(0), []TargetSpec{elsewhere, other}, nil)
 	d, _ := b.Place(now, request(now, class))
 	if d.Target != nil || d.Reason != NoTarget {
 		t.Errorf("decision %+v", d)
@@ -301,7 +301,7 @@
 func TestTargetThatRefusesIsNotEjected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b, class := newBalancer(now), NewClass(time.Second)
-	for _, end := range []End{Shed, Broken} {
+	for _, end := range []Outcome{Shed, Failed} {
 		for range 10 {
 			d, w := b.Place(now, request(now, class))
 			if w != nil {
@@ -310,7 +310,7 @@
 			b.Done(now, d, class, end, 10*time.Millisecond)
 		}
 	}
-	if suspects := b.Suspects(now.Add(lastEjection)); len(suspects) != 0 {
+	if suspects := b.DueProbes(now.Add(lastEjection)); len(suspects) != 0 {
 		t.Errorf("%d targets are to be probed", len(suspects))
 	}
 }
--- a/edge/placing/done.go
+++ b/edge/placing/done.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// End is how a request ended at a target.
-type End int
+// Outcome is how a request ended at a target.
+type Outcome int
 
 // Ends of a request.
 const (
 	// Answered: the target gave its whole answer.
-	Answered End = iota
+	Answered Outcome = iota
 	// Shed: the target did not run the request.
 	Shed
-	// Broken: the answer was lost, spoilt or an error of the target.
-	Broken
+	// Failed: the answer was lost, spoilt or an error of the target.
+	Failed
 	// Unreachable: no connection could be had.
 	Unreachable
 	// Cancelled: the caller or the system gave up. It says of the target only that it has
@@ -22,7 +22,7 @@
 
 // Done ends a request that was given a target. took is from sending to the
 // answer's end.
-func (b *Balancer) Done(now time.Time, d Decision, class *Class, end End, took time.Duration) {
+func (b *Balancer) Done(now time.Time, d Decision, class *Class, end Outcome, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := d.Target
@@ -37,7 +37,7 @@
 		if s != nil {
 			s.occupancy.add(min(took-t.delay, maxOccupancy*class.work(false)))
 		}
-	case Broken:
+	case Failed:
 		t.failed(now, false)
 		b.noteLoss(now, t)
 	case Shed:
--- a/edge/placing/failures_test.go
+++ b/edge/placing/failures_test.go
@@ -11,7 +11,7 @@
 func TestRefusedRequestStaysWhileAllTargetsRefuse(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b, class := fourTargets(now, "vm"), NewClass(time.Second)
-	place := func(key uint64, end End) Decision {
+	place := func(key uint64, end Outcome) Decision {
 		now = now.Add(10 * time.Millisecond)
 		d, w := b.Place(now, keyRequest(now, class, key))
 		if w != nil || d.Target == nil {
@@ -24,7 +24,7 @@
 		t.Error("one refusal is taken for many")
 	}
 	for i := range 40 {
-		place(uint64(i%8), []End{Answered, Shed}[i%2])
+		place(uint64(i%8), []Outcome{Answered, Shed}[i%2])
 	}
 	const key = 100
 	first := place(key, Shed)
--- a/edge/placing/hash.go
+++ b/edge/placing/hash.go
@@ -13,8 +13,8 @@
 // has the same 24 bits; each of the two then counts as busy with the other's requests too.
 const keyBits = 24
 
-// KeyOf names a target, by the hash of its id, in the reports of VMs.
-func KeyOf(hash uint64) uint32 { return uint32(hash >> (64 - keyBits)) }
+// TargetKey names a target, by the hash of its id, in the reports of VMs.
+func TargetKey(hash uint64) uint32 { return uint32(hash >> (64 - keyBits)) }
 
 // Rendezvous orders targets for a key, or VMs for a target, by the highest random weight.
 func Rendezvous(a, b uint64) uint64 {
--- a/edge/placing/load_bench_test.go
+++ b/edge/placing/load_bench_test.go
@@ -7,21 +7,21 @@
 )
 
 // largeBalancer is that of a listener: 100 VMs of its region, 3,000 targets.
-func largeBalancer(now time.Time) (*Balancer, []*Peer) {
+func largeBalancer(now time.Time) (*Balancer, []*PeerReport) {
 	b := New(Options{
 		VM: "vm", Zone: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"},
-		Delay: func(string) time.Duration { return time.Millisecond },
+		RTT: func(string) time.Duration { return time.Millisecond },
 	})
-	var list []Listing
+	var list []TargetSpec
 	for i := range 3000 {
 		list = append(list, listing(fmt.Sprintf("t%d", i)))
 	}
 	b.SetTargets(now, services(1), list, nil)
-	var peers []*Peer
+	var peers []*PeerReport
 	for i := range 100 {
-		p := &Peer{InFlight: make(map[uint32]int), Demand: map[string]map[string]float64{"a": {serviceName: 5}}, At: now}
+		p := &PeerReport{InFlight: make(map[uint32]int), Demand: map[string]map[string]float64{"a": {serviceName: 5}}, At: now}
 		for j := range 10 {
-			p.InFlight[KeyOf(HashOf(list[(i*37+j*113)%len(list)].ID))] = 1
+			p.InFlight[TargetKey(HashOf(list[(i*37+j*113)%len(list)].ID))] = 1
 		}
 		peers = append(peers, p)
 	}
@@ -33,11 +33,11 @@
 	now := time.Unix(1000, 0)
 	b, peers := largeBalancer(now)
 	for i, p := range peers {
-		b.SetPeer(now, fmt.Sprint(i), p)
+		b.SetPeerReport(now, fmt.Sprint(i), p)
 	}
 	bench.ResetTimer()
 	for i := 0; bench.Loop(); i++ {
-		b.SetPeer(now, fmt.Sprint(i%len(peers)), peers[i%len(peers)])
+		b.SetPeerReport(now, fmt.Sprint(i%len(peers)), peers[i%len(peers)])
 	}
 }
 
--- a/edge/placing/occupancy_test.go
+++ b/edge/placing/occupancy_test.go
@@ -37,7 +37,7 @@
 	}
 	preferred, _ := b.Place(now, keyRequest(now, short, 9))
 	b.Done(now, preferred, short, Answered, 90*time.Millisecond)
-	b.SetPeer(now, "other", &Peer{InFlight: map[uint32]int{KeyOf(preferred.Target.hash): 3}, At: now})
+	b.SetPeerReport(now, "other", &PeerReport{InFlight: map[uint32]int{TargetKey(preferred.Target.hash): 3}, At: now})
 	d, w := b.Place(now, keyRequest(now, short, 9))
 	if w != nil || d.Target == preferred.Target {
 		t.Errorf("sent to %v behind three long requests, waiter %v", d.Target, w)
--- a/edge/placing/owned_test.go
+++ b/edge/placing/owned_test.go
@@ -19,7 +19,7 @@
 	w.turn = 300 * time.Millisecond
 	w.owned = true
 	for _, b := range w.balancers {
-		b.SetKeyDivision(vms)
+		b.SetKeyOwnerCount(vms)
 	}
 	w.load(20, keys, 14*time.Second)
 	w.run(6 * time.Second)
@@ -37,7 +37,7 @@
 	const requests, perSecond, seldom = 600, 15, 8
 	now := time.Unix(1000, 0)
 	b := newBalancer(now)
-	b.SetKeyDivision(24)
+	b.SetKeyOwnerCount(24)
 	var w regionWeights
 	w.begin(now, "a", map[string]float64{"a": 1, "b": 1})
 	w.weight = map[string]float64{"a": 0.5, "b": 0.5}
--- a/edge/placing/peers.go
+++ b/edge/placing/peers.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Peer is a report of another VM, on itself or on several VMs.
-type Peer struct {
-	// InFlight counts requests at targets, by KeyOf.
+// PeerReport is a report of another VM, on itself or on several VMs.
+type PeerReport struct {
+	// InFlight counts requests at targets, by TargetKey.
 	InFlight map[uint32]int
 	// Demand is the slots that callers' requests need, by region and service.
 	Demand map[string]map[string]float64
-	// Sum tells that these are the sums of several VMs.
-	Sum bool
-	At  time.Time
+	// Aggregated tells that these are the sums of several VMs.
+	Aggregated bool
+	At         time.Time
 }
 
-// SetPeer takes in what another VM reports; nil forgets it. A Peer is not changed
+// SetPeerReport takes in what another VM reports; nil forgets it. A Peer is not changed
 // afterwards.
-func (b *Balancer) SetPeer(now time.Time, name string, p *Peer) {
+func (b *Balancer) SetPeerReport(now time.Time, name string, p *PeerReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expirePeers(now)
@@ -25,7 +25,7 @@
 
 // replacePeer counts what a VM reports in place of its last report. Only the targets
 // that it names are touched.
-func (b *Balancer) replacePeer(name string, p *Peer) {
+func (b *Balancer) replacePeer(name string, p *PeerReport) {
 	if old := b.peers[name]; old != nil {
 		for key, n := range old.InFlight {
 			b.remoteAt(key).n -= n
@@ -98,7 +98,7 @@
 		needs[name] = s.demand.slots
 		for _, t := range s.targets {
 			if t.local > 0 {
-				inFlight[KeyOf(t.hash)] += t.local
+				inFlight[TargetKey(t.hash)] += t.local
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 	b.mu.Lock()
 	own := b.reported
 	b.mu.Unlock()
-	others := &Peer{InFlight: make(map[uint32]int, len(inFlight)), Sum: true, At: now}
+	others := &PeerReport{InFlight: make(map[uint32]int, len(inFlight)), Aggregated: true, At: now}
 	for key, n := range inFlight {
 		if n -= own.inFlight[key]; n > 0 {
 			others.InFlight[key] = n
@@ -122,7 +122,7 @@
 		left[service] = max(0, slots-own.needs[service])
 	}
 	others.Demand = map[string]map[string]float64{b.options.Region: left}
-	b.SetPeer(now, name, others)
+	b.SetPeerReport(now, name, others)
 }
 
 // OtherRegionSums returns the sums of other regions' reports.
@@ -157,7 +157,7 @@
 	inFlight, needs = b.localPart(now)
 	for _, p := range b.peers {
 		services, near := p.Demand[b.options.Region]
-		if !near || p.Sum || now.Sub(p.At) >= peerTTL {
+		if !near || p.Aggregated || now.Sub(p.At) >= peerTTL {
 			continue
 		}
 		for key, n := range p.InFlight {
--- a/edge/placing/place_bench_test.go
+++ b/edge/placing/place_bench_test.go
@@ -13,9 +13,9 @@
 	now := time.Unix(1000, 0)
 	b := New(Options{
 		VM: "vm", Zone: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"},
-		Delay: func(string) time.Duration { return time.Millisecond },
+		RTT: func(string) time.Duration { return time.Millisecond },
 	})
-	var list []Listing
+	var list []TargetSpec
 	for i := range 200 {
 		l := listing(fmt.Sprint("t", i))
 		l.Slots = 6
--- a/edge/placing/probe.go
+++ b/edge/placing/probe.go
@@ -6,9 +6,9 @@
 // longer than a probe takes.
 const probeEvery = time.Second
 
-// Suspects returns the ejected targets that a probe may readmit now. Each is returned
+// DueProbes returns the ejected targets that a probe may readmit now. Each is returned
 // once until the outcome of its probe is taken in, or probeEvery has passed.
-func (b *Balancer) Suspects(now time.Time) []*Target {
+func (b *Balancer) DueProbes(now time.Time) []*Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var due []*Target
@@ -23,8 +23,8 @@
 	return due
 }
 
-// Probed takes in the outcome of a probe; coldFor is what the target said.
-func (b *Balancer) Probed(now time.Time, t *Target, well bool, coldFor time.Duration) {
+// RecordProbe takes in the outcome of a probe; coldFor is what the target said.
+func (b *Balancer) RecordProbe(now time.Time, t *Target, well bool, coldFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !well {
--- a/edge/placing/regions.go
+++ b/edge/placing/regions.go
@@ -13,7 +13,7 @@
 		if !r.allows(region) || s.slots(now, region) == 0 {
 			return false
 		}
-		return region == b.options.Region || !now.Add(b.options.Delay(region)+work).After(r.Objective)
+		return region == b.options.Region || !now.Add(b.options.RTT(region)+work).After(r.Objective)
 	})
 	if ok {
 		return region
@@ -28,8 +28,8 @@
 		if !r.allows(region) || s.slots(now, region) == 0 {
 			continue
 		}
-		if best == "" || b.options.Delay(region) < b.options.Delay(best) ||
-			(b.options.Delay(region) == b.options.Delay(best) && region < best) {
+		if best == "" || b.options.RTT(region) < b.options.RTT(best) ||
+			(b.options.RTT(region) == b.options.RTT(best) && region < best) {
 			best = region
 		}
 	}
--- a/edge/placing/replay_test.go
+++ b/edge/placing/replay_test.go
@@ -114,12 +114,12 @@
 	w.load(8, 200, 12*time.Second)
 	w.run(3 * time.Second)
 	service := map[string]site.Service{serviceName: {Name: serviceName, ColdRate: rate, ColdTime: 3 * time.Second}}
-	var list []Listing
+	var list []TargetSpec
 	for _, s := range w.targets {
-		list = append(list, Listing{Target: site.Target{ID: s.id, Service: serviceName, Zone: s.region + "1", Slots: s.slots}})
+		list = append(list, TargetSpec{Target: site.Target{ID: s.id, Service: serviceName, Zone: s.region + "1", Slots: s.slots}})
 	}
 	w.targets["a-new"] = &simTarget{id: "a-new", region: "a", slots: 4, slow: 1, most: maxKnown}
-	cold := Listing{
+	cold := TargetSpec{
 		Target:    site.Target{ID: "a-new", Service: serviceName, Zone: "a1", Slots: 4, ColdFor: 3 * time.Second},
 		ColdUntil: w.now.Add(3 * time.Second),
 	}
--- a/edge/placing/request.go
+++ b/edge/placing/request.go
@@ -18,8 +18,8 @@
 	Objective, Deadline time.Time
 	// Tried are the targets that it must not be sent to again.
 	Tried []*Target
-	// Again tells that it was counted as demand before.
-	Again bool
+	// AlreadyCounted tells that it was counted as demand before.
+	AlreadyCounted bool
 }
 
 func (r *Request) allows(region string) bool { return r.Allowed == nil || r.Allowed(region) }
--- a/edge/placing/serve.go
+++ b/edge/placing/serve.go
@@ -51,7 +51,7 @@
 		return d, true
 	}
 	wait := time.Duration(float64(ahead) / s.pace(now, w.region))
-	need := wait + w.request.work() + b.options.Delay(w.region)
+	need := wait + w.request.work() + b.options.RTT(w.region)
 	if now.Add(need).After(w.last) {
 		return s.refusal(now, w.region, wait, need), true
 	}
--- a/edge/placing/listing.go
+++ b/edge/placing/targetspec.go
@@ -7,14 +7,14 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// Listing is one target as the catalog lists it.
-type Listing struct {
+// TargetSpec is one target as the catalog lists it.
+type TargetSpec struct {
 	site.Target
 	ColdUntil time.Time
 }
 
 // SetTargets puts services and targets in force; evacuated domains get nothing.
-func (b *Balancer) SetTargets(now time.Time, services map[string]site.Service, list []Listing, evacuated map[string]bool) {
+func (b *Balancer) SetTargets(now time.Time, services map[string]site.Service, list []TargetSpec, evacuated map[string]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	listed := make(map[string]bool, len(list))
@@ -40,7 +40,7 @@
 
 // serves reports whether a target can get requests: its service and its failure domain
 // are known. Others would count as capacity of a region that does not exist.
-func (b *Balancer) serves(services map[string]site.Service, l Listing) bool {
+func (b *Balancer) serves(services map[string]site.Service, l TargetSpec) bool {
 	_, service := services[l.Service]
 	_, zone := b.options.RegionOf[l.Zone]
 	return service && zone
@@ -62,7 +62,7 @@
 	return s
 }
 
-func (b *Balancer) setTarget(now time.Time, s *service, l Listing, evacuated bool) {
+func (b *Balancer) setTarget(now time.Time, s *service, l TargetSpec, evacuated bool) {
 	t := s.targets[l.ID]
 	if t == nil || t.Address != l.Address || t.Zone != l.Zone || t.Born != l.Born {
 		// A target that started again is warm for no key, and nothing that was learnt of
@@ -83,16 +83,16 @@
 	// The fields that name the target stay as they are: the request path reads
 	// them without the lock.
 	t.Slots = l.Slots
-	t.delay = b.options.Delay(t.Region)
+	t.delay = b.options.RTT(t.Region)
 	if l.ColdFor > 0 && l.ColdUntil.Add(coldMargin).After(t.coldTill) {
 		t.coldTill = l.ColdUntil.Add(coldMargin)
 	}
 }
 
-func (b *Balancer) newTarget(l Listing) *Target {
+func (b *Balancer) newTarget(l TargetSpec) *Target {
 	region, hash := b.options.RegionOf[l.Zone], HashOf(l.ID)
 	return &Target{
-		Target: l.Target, Region: region, hash: hash, delay: b.options.Delay(region), remote: b.remoteAt(KeyOf(hash)),
+		Target: l.Target, Region: region, hash: hash, delay: b.options.RTT(region), remote: b.remoteAt(TargetKey(hash)),
 		warm: make(map[uint64]time.Time), slow: 1,
 	}
 }
--- a/edge/placing/weights.go
+++ b/edge/placing/weights.go
@@ -184,13 +184,13 @@
 // baseTolerance is how many requests a region may be ahead of its weight at one VM.
 const baseTolerance = 4
 
-// SetKeyDivision tells among how many VMs of the own failure domain keys are divided.
+// SetKeyOwnerCount tells among how many VMs of the own failure domain keys are divided.
 //
 // A VM that decides on few keys cannot keep the weights with them: some are asked for far
 // more often than others, and they would change their region by turns, each time to a cold
 // target. What a region is ahead at one VM it is behind at another, so that the tolerance
 // of each may grow with the root of their number while that of all together stays.
-func (b *Balancer) SetKeyDivision(vms float64) {
+func (b *Balancer) SetKeyOwnerCount(vms float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tolerance = baseTolerance * math.Sqrt(max(1, vms))
--- a/edge/placing/world_test.go
+++ b/edge/placing/world_test.go
@@ -127,13 +127,13 @@
 	}
 	names := slices.Sorted(maps.Keys(o.regions))
 	regionOf := make(map[string]string)
-	var list []Listing
+	var list []TargetSpec
 	for _, region := range names {
 		regionOf[region+"1"] = region
 		for i := range o.regions[region] {
 			id := fmt.Sprintf("%s-%d", region, i)
 			w.targets[id] = &simTarget{id: id, region: region, slots: o.slots, slow: 1, most: o.known}
-			list = append(list, Listing{Target: site.Target{ID: id, Service: serviceName, Zone: region + "1", Slots: o.slots}})
+			list = append(list, TargetSpec{Target: site.Target{ID: id, Service: serviceName, Zone: region + "1", Slots: o.slots}})
 		}
 	}
 	service := map[string]site.Service{serviceName: {Name: serviceName, ColdRate: o.coldRate, ColdTime: 3 * time.Second}}
@@ -144,7 +144,7 @@
 }
 
 // addVMs puts VMs in a region.
-func (w *world) addVMs(region string, vms int, regionOf map[string]string, service map[string]site.Service, list []Listing) {
+func (w *world) addVMs(region string, vms int, regionOf map[string]string, service map[string]site.Service, list []TargetSpec) {
 	var names []string
 	for i := range vms {
 		names = append(names, fmt.Sprintf("vm-%s-%d", region, i))
@@ -152,7 +152,7 @@
 	for _, name := range names {
 		b := New(Options{
 			VM: name, Zone: region + "1", Region: region, RegionOf: regionOf,
-			Delay: func(to string) time.Duration {
+			RTT: func(to string) time.Duration {
 				if to == region {
 					return time.Millisecond
 				}
@@ -192,7 +192,7 @@
 		inFlight, needs := from.Report(w.now)
 		for j, to := range w.balancers {
 			if i != j {
-				to.SetPeer(w.now, from.options.VM, &Peer{
+				to.SetPeerReport(w.now, from.options.VM, &PeerReport{
 					InFlight: inFlight, Demand: map[string]map[string]float64{from.options.Region: needs}, At: w.now,
 				})
 			}
@@ -276,7 +276,7 @@
 	s := w.targets[d.Target.ID]
 	w.count(vm, s)
 	sent := w.now
-	delay := w.balancers[vm].options.Delay(s.region)
+	delay := w.balancers[vm].options.RTT(s.region)
 	start := func() {
 		work := w.cold
 		if s.isWarm(r.Key) {
