--- a/edge/placing/affinity.go
+++ b/edge/placing/affinity.go
@@ -10,8 +10,8 @@
 	// in parts of the time that it takes longer than a warm one: they wait for its slot,
 	// or run cold because the target dropped their key. coldPenaltyPerUse counts by the
 	// part of the region's slots in use.
-	coldPenalty       = 0.5
-	coldPenaltyPerUse = 1.0
+	coldPenalty               = 0.5
+	coldPenaltyPerUtilization = 1.0
 )
 
 // best returns the open target of a region at which a request is expected to end
@@ -21,7 +21,7 @@
 		return s.leastCost(now, r, region)
 	}
 	t, cost := s.bestAffinity(now, r, region)
-	if t == nil || !t.open(now) {
+	if t == nil || !t.canAccept(now) {
 		return nil, cost
 	}
 	return t, cost
@@ -30,9 +30,9 @@
 // leastCost is the open target at which a request without a key ends first.
 func (s *service) leastCost(now time.Time, r *Request, region string) (best *Target, lowest time.Duration) {
 	var rank uint64
-	usual := s.usualFor(r)
+	usual := s.averagesFor(r)
 	for _, t := range s.regions[region] {
-		if !t.open(now) || r.tried(t) {
+		if !t.canAccept(now) || r.tried(t) {
 			continue
 		}
 		cost := t.cost(now, r.Class, false, usual)
@@ -53,21 +53,21 @@
 // that one more target becomes warm for it and not one for each VM.
 func (s *service) bestAffinity(now time.Time, r *Request, region string) (best *Target, expected time.Duration) {
 	lowest := time.Duration(0)
-	penalty := coldPenalty + coldPenaltyPerUse*s.use(now, region)
-	usual := s.usualFor(r)
-	longer := float64(r.Class.work(false) - r.Class.work(true))
-	offered := false
+	penalty := coldPenalty + coldPenaltyPerUtilization*s.utilization(now, region)
+	usual := s.averagesFor(r)
+	extraWork := float64(r.Class.serviceTime(false) - r.Class.serviceTime(true))
+	coldOffered := false
 	for i, a := range s.affinityTargets(now, r, region) {
 		// All VMs send to the first affinity target, so that it is taken to be warm.
 		warm := i == 0 || a.target.isWarm(r.Key, now)
-		if !warm && offered {
+		if !warm && coldOffered {
 			continue
 		}
 		end := a.target.cost(now, r.Class, warm, usual)
 		cost := end
 		if !warm {
-			offered = true
-			cost += time.Duration(penalty * longer)
+			coldOffered = true
+			cost += time.Duration(penalty * extraWork)
 		}
 		if best == nil || cost < lowest {
 			best, lowest, expected = a.target, cost, end
@@ -81,13 +81,13 @@
 
 type affinityTarget struct {
 	target *Target
-	order  uint64
+	score  uint64
 }
 
 // add puts a target in by its order and keeps maxAffinityTargets of them.
 func (a affinityTargets) add(t *Target, order uint64) affinityTargets {
 	i := len(a)
-	for i > 0 && order > a[i-1].order {
+	for i > 0 && order > a[i-1].score {
 		i--
 	}
 	if i >= maxAffinityTargets {
@@ -105,7 +105,7 @@
 func (s *service) affinityTargets(now time.Time, r *Request, region string) affinityTargets {
 	a := make(affinityTargets, 0, maxAffinityTargets)
 	for _, t := range s.regions[region] {
-		if t.usable && !t.probing && t.permits(now) && !r.tried(t) {
+		if t.usable && !t.needsProbe && t.admits(now) && !r.tried(t) {
 			a = a.add(t, Rendezvous(r.Key, t.hash))
 		}
 	}
--- a/edge/placing/affinity_test.go
+++ b/edge/placing/affinity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fourTargets is a board with four targets of two slots in the own region.
-func fourTargets(now time.Time, vm string) *Balancer {
+// newFourTargetBalancer is a board with four targets of two slots in the own region.
+func newFourTargetBalancer(now time.Time, vm string) *Balancer {
 	b := New(Options{
 		VM: vm, Zone: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"},
 		RTT: func(string) time.Duration { return time.Millisecond },
@@ -27,9 +27,9 @@
 // requests that those targets knew.
 func TestRequestWaitsForItsWarmTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b, class := fourTargets(now, "vm"), NewClass(time.Second)
+	b, class := newFourTargetBalancer(now, "vm"), NewClass(time.Second)
 	first, _ := b.Place(now, keyRequest(now, class, 7))
-	for first.Target.open(now) {
+	for first.Target.canAccept(now) {
 		if d, _ := b.Place(now, keyRequest(now, class, 7)); d.Target != first.Target {
 			t.Fatalf("%d in flight and the next went to %v", first.Target.inFlight(), d.Target)
 		}
@@ -52,7 +52,7 @@
 	for key := range uint64(20) {
 		second := make(map[string]bool)
 		for vm := range 3 {
-			b, class := fourTargets(now, fmt.Sprint("vm", vm)), NewClass(time.Second)
+			b, class := newFourTargetBalancer(now, fmt.Sprint("vm", vm)), NewClass(time.Second)
 			first, _ := b.Place(now, keyRequest(now, class, key))
 			b.SetPeerReport(now, "other", &PeerReport{InFlight: map[uint32]int{TargetKey(first.Target.hash): 20}, At: now})
 			next, _ := b.Place(now, keyRequest(now, class, key))
--- a/edge/placing/balancer.go
+++ b/edge/placing/balancer.go
@@ -9,11 +9,11 @@
 	// coldSenders is how many VMs of a region send to a cold target. Each may
 	// begin with one request at once, so that their number is part of the sum.
 	coldSenders = 3
-	// largeLocalUse is the part of the own region's slots in use up to which large
+	// largeLocalUtilization is the part of the own region's slots in use up to which large
 	// bodies stay there: bytes between regions are scarce.
-	largeLocalUse = 0.8
-	// lossFor is how long after a loss of capacity region weights move quickly.
-	lossFor = 4 * time.Second
+	largeLocalUtilization = 0.8
+	// lossWindow is how long after a loss of capacity region weights move quickly.
+	lossWindow = 4 * time.Second
 	// minRetryAfter keeps refused callers from retrying within a round trip.
 	minRetryAfter = 100 * time.Millisecond
 	// maxRetryAfter is about a third of the time that callers have.
@@ -37,14 +37,14 @@
 	options Options
 	hash    uint64
 
-	mu       sync.Mutex
-	services map[string]*service
-	peers    map[string]*PeerReport
-	reported report
+	mu         sync.Mutex
+	services   map[string]*service
+	peers      map[string]*PeerReport
+	lastReport report
 	// remote counts the requests of all peers, by TargetKey the target.
 	remote map[uint32]*remoteCount
-	// vms are the names of the VMs of the own region among which work is divided, by hash.
-	vms []uint64
+	// vmHashes are the names of the VMs of the own region among which work is divided, by hash.
+	vmHashes []uint64
 	// vmNames are the names behind these hashes.
 	vmNames []string
 	// tolerance is how many requests a region may be ahead of its weight.
@@ -71,9 +71,9 @@
 	if s == nil {
 		return Decision{Reason: NoTarget, RetryAfter: maxRetryAfter}, nil
 	}
-	s.forgetLoads()
+	s.resetLoads()
 	if !r.AlreadyCounted {
-		s.demand.add(now, r.work())
+		s.demand.add(now, r.serviceTime())
 		b.stepWeights(now, s)
 		s.weights.accrue(now)
 	}
@@ -90,7 +90,7 @@
 	if refusal, late := b.rejectLate(now, s, r, region); late {
 		return refusal, nil
 	}
-	w := &Waiter{request: r, region: region, last: r.latestEnd(), decided: make(chan Decision, 1)}
+	w := &Waiter{request: r, region: region, latestEnd: r.latestEnd(), decided: make(chan Decision, 1)}
 	s.queue.add(w, now)
 	return Decision{}, w
 }
@@ -105,7 +105,7 @@
 	}
 	warm := r.HasKey && t.isWarm(r.Key, now)
 	s.addLocal(t)
-	if now.Before(t.coldTill) {
+	if now.Before(t.coldUntil) {
 		t.cold.take(now)
 	}
 	if r.HasKey {
@@ -120,8 +120,8 @@
 
 // rejectLate refuses a request that would end after its latestEnd if it waited in the queue.
 func (b *Balancer) rejectLate(now time.Time, s *service, r *Request, region string) (Decision, bool) {
-	wait := time.Duration(float64(s.queue.backlog(r, now)) / s.pace(now, region))
-	end := now.Add(wait + r.work() + b.options.RTT(region))
+	wait := time.Duration(float64(s.queue.backlog(r, now)) / s.slotShare(now, region))
+	end := now.Add(wait + r.serviceTime() + b.options.RTT(region))
 	if !end.After(r.latestEnd()) {
 		return Decision{}, false
 	}
--- a/edge/placing/balancer_test.go
+++ b/edge/placing/balancer_test.go
@@ -45,7 +45,7 @@
 			t.Fatal("an ejected target got a request")
 		}
 	}
-	now = now.Add(firstEjection)
+	now = now.Add(minEjection)
 	if due := b.DueProbes(now); len(due) != 1 || due[0] != bad {
 		t.Fatalf("suspects %v", due)
 	}
@@ -53,15 +53,15 @@
 		t.Fatal("probed again while a probe is under way")
 	}
 	b.RecordProbe(now, bad, false, 0)
-	if due := b.DueProbes(now.Add(firstEjection)); len(due) != 0 {
+	if due := b.DueProbes(now.Add(minEjection)); len(due) != 0 {
 		t.Error("no longer pause after a failed probe")
 	}
-	now = now.Add(2 * firstEjection)
+	now = now.Add(2 * minEjection)
 	if due := b.DueProbes(now); len(due) != 1 {
 		t.Fatal("never probed again")
 	}
 	b.RecordProbe(now, bad, true, time.Second)
-	if !bad.alive(now) || !now.Before(bad.coldTill) {
+	if !bad.available(now) || !now.Before(bad.coldUntil) {
 		t.Error("not readmitted, or not as cold as it said")
 	}
 }
@@ -79,7 +79,7 @@
 	b.SetTargets(now, services(5), list, nil)
 	b.SetVMs([]string{"vm"})
 	for _, target := range b.services[serviceName].targets {
-		if !now.Before(target.coldTill) {
+		if !now.Before(target.coldUntil) {
 			t.Error("not treated as cold")
 		}
 	}
@@ -113,9 +113,9 @@
 	}
 }
 
-// filledByAnother returns a board whose targets another VM has filled, and a request that
+// newFilledBalancer returns a board whose targets another VM has filled, and a request that
 // waits there.
-func filledByAnother(t *testing.T, now time.Time) (*Balancer, *Waiter) {
+func newFilledBalancer(t *testing.T, now time.Time) (*Balancer, *Waiter) {
 	t.Helper()
 	b, class := newBalancer(now), NewClass(100*time.Millisecond)
 	full := map[uint32]int{TargetKey(HashOf("t1")): 2 + targetQueue, TargetKey(HashOf("t2")): 2 + targetQueue}
@@ -127,8 +127,8 @@
 	return b, w
 }
 
-// mustBeSent fails unless a request that waited has its target now.
-func mustBeSent(t *testing.T, w *Waiter) {
+// requireDecided fails unless a request that waited has its target now.
+func requireDecided(t *testing.T, w *Waiter) {
 	t.Helper()
 	select {
 	case d := <-w.Decided():
@@ -144,10 +144,10 @@
 // too old to be trusted.
 func TestOthersCountsAreUsed(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b, w := filledByAnother(t, now)
+	b, w := newFilledBalancer(t, now)
 	now = now.Add(peerTTL)
 	b.SetPeerReport(now, "third", &PeerReport{At: now})
-	mustBeSent(t, w)
+	requireDecided(t, w)
 }
 
 // A listener tells all VMs the same sums. Each takes out what it told last; its own requests
@@ -185,9 +185,9 @@
 // count for good: this VM would take its targets for full and refuse everybody.
 func TestCountsOfSilentVMsEnd(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b, w := filledByAnother(t, now)
+	b, w := newFilledBalancer(t, now)
 	b.Tick(now.Add(peerTTL))
-	mustBeSent(t, w)
+	requireDecided(t, w)
 }
 
 // VMs report, change what they report, fall silent and are forgotten in any order, and
@@ -284,14 +284,14 @@
 	const cap, window = 0.15, 2.0
 	now := time.Unix(1000, 0)
 	b, s := newBalancer(now), newService(site.Service{})
-	if got := b.shiftRate(now, s); got != calmRate {
+	if got := b.shiftRate(now, s); got != baseShiftRate {
 		t.Errorf("%v a second on a calm day", got)
 	}
 	s.refusal(now, "a", 0, 0)
-	if got := b.shiftRate(now, s); got != refusedRate || got*window >= cap {
+	if got := b.shiftRate(now, s); got != refusalShiftRate || got*window >= cap {
 		t.Errorf("%v a second after a refusal", got)
 	}
-	if got := b.shiftRate(now.Add(refusedFor), s); got != calmRate {
+	if got := b.shiftRate(now.Add(refusalWindow), s); got != baseShiftRate {
 		t.Errorf("%v a second when none is refused any more", got)
 	}
 }
@@ -310,7 +310,7 @@
 			b.Done(now, d, class, end, 10*time.Millisecond)
 		}
 	}
-	if suspects := b.DueProbes(now.Add(lastEjection)); len(suspects) != 0 {
+	if suspects := b.DueProbes(now.Add(maxEjection)); len(suspects) != 0 {
 		t.Errorf("%d targets are to be probed", len(suspects))
 	}
 }
@@ -320,7 +320,7 @@
 // leaves at once shows nothing.
 func TestTargetThatNobodyWaitsForIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b, class := fourTargets(now, "vm"), NewClass(800*time.Millisecond)
+	b, class := newFourTargetBalancer(now, "vm"), NewClass(800*time.Millisecond)
 	first, _ := b.Place(now, keyRequest(now, class, 7))
 	b.Done(now, first, class, Answered, 320*time.Millisecond)
 	cancelled := func(after time.Duration) *Target {
--- a/edge/placing/cold.go
+++ b/edge/placing/cold.go
@@ -14,26 +14,26 @@
 		return
 	}
 	b.vmNames = slices.Clone(names)
-	b.vms = b.vms[:0]
+	b.vmHashes = b.vmHashes[:0]
 	for _, name := range names {
-		b.vms = append(b.vms, HashOf(name))
+		b.vmHashes = append(b.vmHashes, HashOf(name))
 	}
 	for _, s := range b.services {
-		b.limitColdOf(s)
+		b.updateColdRates(s)
 	}
 }
 
 func (b *Balancer) setColdRate(s *service, rate float64) {
 	if rate != s.ColdRate {
 		s.ColdRate = rate
-		b.limitColdOf(s)
+		b.updateColdRates(s)
 	}
 }
 
-// limitColdOf gives this VM its part of what cold targets bear. Only the VMs that a
+// updateColdRates gives this VM its part of what cold targets bear. Only the VMs that a
 // hash names for a target send to it while it is cold: with all VMs sending their
 // first request at once, a target would get one from each within a moment.
-func (b *Balancer) limitColdOf(s *service) {
+func (b *Balancer) updateColdRates(s *service) {
 	for _, t := range s.targets {
 		t.cold.rate = b.coldRate(s, t)
 	}
@@ -46,27 +46,27 @@
 	if t.Region != b.options.Region {
 		return 0
 	}
-	mine, before := Rendezvous(b.hash, t.hash), 0
-	for _, vm := range b.vms {
-		if vm != b.hash && Rendezvous(vm, t.hash) > mine {
-			before++
+	own, higher := Rendezvous(b.hash, t.hash), 0
+	for _, vm := range b.vmHashes {
+		if vm != b.hash && Rendezvous(vm, t.hash) > own {
+			higher++
 		}
 	}
-	if before >= coldSenders {
+	if higher >= coldSenders {
 		return 0
 	}
-	return s.ColdRate / float64(min(coldSenders, max(1, len(b.vms))))
+	return s.ColdRate / float64(min(coldSenders, max(1, len(b.vmHashes))))
 }
 
-// coldBucket limits what this VM sends to a cold target.
-type coldBucket struct {
+// coldLimiter limits what this VM sends to a cold target.
+type coldLimiter struct {
 	// rate is requests a second; 0 permits none.
 	rate float64
 	next time.Time
 }
 
-func (b *coldBucket) has(now time.Time) bool { return b.rate > 0 && !now.Before(b.next) }
+func (b *coldLimiter) allows(now time.Time) bool { return b.rate > 0 && !now.Before(b.next) }
 
-func (b *coldBucket) take(now time.Time) {
+func (b *coldLimiter) take(now time.Time) {
 	b.next = now.Add(time.Duration(float64(time.Second) / b.rate))
 }
--- a/edge/placing/done.go
+++ b/edge/placing/done.go
@@ -22,39 +22,39 @@
 
 // Done ends a request that was given a target. took is from sending to the
 // answer's end.
-func (b *Balancer) Done(now time.Time, d Decision, class *Class, end Outcome, took time.Duration) {
+func (b *Balancer) Done(now time.Time, d Decision, class *Class, outcome Outcome, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := d.Target
 	t.local--
 	s := b.services[t.Service]
-	if s != nil && end != Cancelled {
-		s.failures.note(end != Answered)
+	if s != nil && outcome != Cancelled {
+		s.failures.record(outcome != Answered)
 	}
-	switch end {
+	switch outcome {
 	case Answered:
-		t.succeeded(now, class, d.Warm, took-t.delay)
+		t.recordSuccess(now, class, d.Warm, took-t.rtt)
 		if s != nil {
-			s.occupancy.add(min(took-t.delay, maxOccupancy*class.work(false)))
+			s.occupancy.add(min(took-t.rtt, maxOccupancy*class.serviceTime(false)))
 		}
 	case Failed:
-		t.failed(now, false)
-		b.noteLoss(now, t)
+		t.recordFailure(now, false)
+		b.recordLoss(now, t)
 	case Shed:
-		t.failed(now, false)
+		t.recordFailure(now, false)
 	case Unreachable:
-		t.failed(now, true)
-		b.noteLoss(now, t)
+		t.recordFailure(now, true)
+		b.recordLoss(now, t)
 	case Cancelled:
-		t.outlasted(now, class, d.Warm, took-t.delay)
+		t.recordTimeout(now, class, d.Warm, took-t.rtt)
 	}
 	if s != nil {
 		s.serve(now, b)
 	}
 }
 
-func (b *Balancer) noteLoss(now time.Time, t *Target) {
-	if t.probing {
+func (b *Balancer) recordLoss(now time.Time, t *Target) {
+	if t.needsProbe {
 		b.lossAt = now
 	}
 }
--- a/edge/placing/failures.go
+++ b/edge/placing/failures.go
@@ -1,9 +1,9 @@
 package placing
 
 const (
-	// serviceFailureRate is the weight of one outcome in a service's share of failures:
+	// serviceFailureSmoothing is the weight of one outcome in a service's share of failures:
 	// some twenty requests.
-	serviceFailureRate = 0.05
+	serviceFailureSmoothing = 0.05
 	// widespreadFailures is the share of failures of a service from which on a refusal
 	// says nothing of the target that refused.
 	widespreadFailures = 0.25
@@ -17,16 +17,16 @@
 // dearer only for what it fails beyond the others.
 type serviceFailures struct{ share float64 }
 
-func (f *serviceFailures) note(failed bool) {
+func (f *serviceFailures) record(failed bool) {
 	outcome := 0.0
 	if failed {
 		outcome = 1
 	}
-	f.share += serviceFailureRate * (outcome - f.share)
+	f.share += serviceFailureSmoothing * (outcome - f.share)
 }
 
-// beyond is by how much a target's share of failures is above that of its service.
-func (f *serviceFailures) beyond(share float64) float64 { return max(0, share-f.share) }
+// excess is by how much a target's share of failures is above that of its service.
+func (f *serviceFailures) excess(share float64) float64 { return max(0, share-f.share) }
 
 // areWidespread reports whether a request that a target refused may as well be sent to the
 // same one again.
--- a/edge/placing/failures_test.go
+++ b/edge/placing/failures_test.go
@@ -10,7 +10,7 @@
 // to be everywhere it may stay, and its target is the one that it goes to again.
 func TestRefusedRequestStaysWhileAllTargetsRefuse(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b, class := fourTargets(now, "vm"), NewClass(time.Second)
+	b, class := newFourTargetBalancer(now, "vm"), NewClass(time.Second)
 	place := func(key uint64, end Outcome) Decision {
 		now = now.Add(10 * time.Millisecond)
 		d, w := b.Place(now, keyRequest(now, class, key))
--- a/edge/placing/load.go
+++ b/edge/placing/load.go
@@ -7,16 +7,16 @@
 	// slots are those of the targets that take part in the capacity, inFlight the requests
 	// there.
 	slots, inFlight int
-	// local and all are the requests of this VM and of all VMs at all targets of the region.
-	local, all int
+	// local and total are the requests of this VM and of total VMs at total targets of the region.
+	local, total int
 }
 
 // loads are those of the regions, counted once in a decision and not for each request
 // in the queue.
 type loads map[string]load
 
-// forgetLoads is called before the first decision of a moment.
-func (s *service) forgetLoads() { clear(s.loads) }
+// resetLoads is called before the first decision of a moment.
+func (s *service) resetLoads() { clear(s.loads) }
 
 // loadOf counts a region, or returns what was counted in this moment.
 func (s *service) loadOf(now time.Time, region string) load {
@@ -27,8 +27,8 @@
 	for _, t := range s.regions[region] {
 		inFlight := t.inFlight()
 		l.local += t.local
-		l.all += inFlight
-		if t.alive(now) {
+		l.total += inFlight
+		if t.available(now) {
 			l.slots += t.Slots
 			l.inFlight += inFlight
 		}
@@ -45,13 +45,13 @@
 		return
 	}
 	l.local++
-	l.all++
+	l.total++
 	l.inFlight++
 	s.loads[t.Region] = l
 }
 
-// use is the part of a region's slots that is in use.
-func (s *service) use(now time.Time, region string) float64 {
+// utilization is the part of a region's slots that is in utilization.
+func (s *service) utilization(now time.Time, region string) float64 {
 	l := s.loadOf(now, region)
 	return float64(l.inFlight) / float64(max(1, l.slots))
 }
@@ -59,9 +59,9 @@
 // slots is the capacity of a region.
 func (s *service) slots(now time.Time, region string) int { return s.loadOf(now, region).slots }
 
-// pace is how many slots of a region serve this VM's queue: its part of the
+// slotShare is how many slots of a region serve this VM's queue: its part of the
 // requests in flight there.
-func (s *service) pace(now time.Time, region string) float64 {
+func (s *service) slotShare(now time.Time, region string) float64 {
 	l := s.loadOf(now, region)
-	return max(1, float64(l.slots)) * float64(1+l.local) / float64(1+l.all)
+	return max(1, float64(l.slots)) * float64(1+l.local) / float64(1+l.total)
 }
--- a/edge/placing/occupancy.go
+++ b/edge/placing/occupancy.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// occupancyRate is the weight of one answer in the mean times: some fifty answers.
-	occupancyRate = 0.02
+	// occupancySmoothing is the weight of one answer in the mean times: some fifty answers.
+	occupancySmoothing = 0.02
 	// maxOccupancy bounds, in cold runs of its route, what one answer counts: a target
 	// that hangs says nothing of the others.
 	maxOccupancy = 4
@@ -15,21 +15,21 @@
 // expected wait they were sent to full targets and came late, and the long ones were
 // refused in turn though the short ones before them were soon done.
 type occupancy struct {
-	// first and second are the means of the times and of their squares, in seconds.
-	first, second float64
+	// mean and meanSquare are the means of the times and of their squares, in seconds.
+	mean, meanSquare float64
 }
 
 func (o *occupancy) add(took time.Duration) {
 	seconds := took.Seconds()
-	o.first += occupancyRate * (seconds - o.first)
-	o.second += occupancyRate * (seconds*seconds - o.second)
+	o.mean += occupancySmoothing * (seconds - o.mean)
+	o.meanSquare += occupancySmoothing * (seconds*seconds - o.meanSquare)
 }
 
-// ofBusySlot is how long a slot that is found busy is kept in all: long requests are met
+// lengthBiasedMean is how long a slot that is found busy is kept in all: long requests are met
 // more often than they arrive. It is fallback until some answers have come.
-func (o *occupancy) ofBusySlot(fallback time.Duration) time.Duration {
-	if o.first <= 0 {
+func (o *occupancy) lengthBiasedMean(fallback time.Duration) time.Duration {
+	if o.mean <= 0 {
 		return fallback
 	}
-	return time.Duration(o.second / o.first * float64(time.Second))
+	return time.Duration(o.meanSquare / o.mean * float64(time.Second))
 }
--- a/edge/placing/occupancy_test.go
+++ b/edge/placing/occupancy_test.go
@@ -10,7 +10,7 @@
 // the tenth that its own kind takes.
 func TestBusySlotCountsLongRequestsByTheirTime(t *testing.T) {
 	var s occupancy
-	if got := s.ofBusySlot(70 * time.Millisecond); got != 70*time.Millisecond {
+	if got := s.lengthBiasedMean(70 * time.Millisecond); got != 70*time.Millisecond {
 		t.Errorf("%v before any answer", got)
 	}
 	for range 100 {
@@ -19,7 +19,7 @@
 		}
 		s.add(time.Second)
 	}
-	if got := s.ofBusySlot(0); got < 450*time.Millisecond || got > 700*time.Millisecond {
+	if got := s.lengthBiasedMean(0); got < 450*time.Millisecond || got > 700*time.Millisecond {
 		t.Errorf("%v, want about 0.57 s", got)
 	}
 }
@@ -29,7 +29,7 @@
 // not warm for its key ends it sooner.
 func TestShortRequestDoesNotQueueBehindLongOnes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := fourTargets(now, "vm")
+	b := newFourTargetBalancer(now, "vm")
 	long, short := NewClass(3*time.Second), NewClass(250*time.Millisecond)
 	for range 60 {
 		d, _ := b.Place(now, keyRequest(now, long, 7))
--- a/edge/placing/owned_test.go
+++ b/edge/placing/owned_test.go
@@ -12,20 +12,20 @@
 // counted all of its requests itself.
 func TestOwnersOfKeysFillTargetsWithoutOverflow(t *testing.T) {
 	const vms, targets, keys = 24, 60, 240
-	w := newWorldOf(t, shape{
-		regions: map[string]int{"a": targets}, vms: vms, slots: 3, cold: 1100 * time.Millisecond, known: 8,
+	w := newSimulationFrom(t, simulationConfig{
+		regions: map[string]int{"a": targets}, vms: vms, slots: 3, cold: 1100 * time.Millisecond, warmKeys: 8,
 		objective: 800 * time.Millisecond, deadline: 5 * time.Second,
 	})
-	w.turn = 300 * time.Millisecond
-	w.owned = true
+	w.reportInterval = 300 * time.Millisecond
+	w.routeByOwner = true
 	for _, b := range w.balancers {
 		b.SetKeyOwnerCount(vms)
 	}
 	w.load(20, keys, 14*time.Second)
 	w.run(6 * time.Second)
-	w.takeShare()
+	w.takeObjectiveShare()
 	w.run(8 * time.Second)
-	if share := w.takeShare(); share < 0.85 {
+	if share := w.takeObjectiveShare(); share < 0.85 {
 		t.Errorf("%.2f of the requests met their objective", share)
 	}
 }
@@ -39,7 +39,7 @@
 	b := newBalancer(now)
 	b.SetKeyOwnerCount(24)
 	var w regionWeights
-	w.begin(now, "a", map[string]float64{"a": 1, "b": 1})
+	w.initialize(now, "a", map[string]float64{"a": 1, "b": 1})
 	w.weight = map[string]float64{"a": 0.5, "b": 0.5}
 	moved := 0
 	for i := range requests {
--- a/edge/placing/peers.go
+++ b/edge/placing/peers.go
@@ -28,7 +28,7 @@
 func (b *Balancer) replacePeer(name string, p *PeerReport) {
 	if old := b.peers[name]; old != nil {
 		for key, n := range old.InFlight {
-			b.remoteAt(key).n -= n
+			b.remoteCountOf(key).n -= n
 		}
 		delete(b.peers, name)
 	}
@@ -37,14 +37,14 @@
 	}
 	b.peers[name] = p
 	for key, n := range p.InFlight {
-		b.remoteAt(key).n += n
+		b.remoteCountOf(key).n += n
 	}
 }
 
 // remoteCount is how many requests other VMs have in flight at a target.
 type remoteCount struct{ n int }
 
-func (b *Balancer) remoteAt(key uint32) *remoteCount {
+func (b *Balancer) remoteCountOf(key uint32) *remoteCount {
 	h := b.remote[key]
 	if h == nil {
 		h = &remoteCount{}
@@ -81,8 +81,8 @@
 func (b *Balancer) Report(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.reported.inFlight, b.reported.needs = b.localPart(now)
-	return b.reported.inFlight, b.reported.needs
+	b.lastReport.inFlight, b.lastReport.needs = b.localCounts(now)
+	return b.lastReport.inFlight, b.lastReport.needs
 }
 
 // report is what this VM reported last. It is not changed any more.
@@ -91,7 +91,7 @@
 	needs    map[string]float64
 }
 
-func (b *Balancer) localPart(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
+func (b *Balancer) localCounts(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
 	inFlight, needs = make(map[uint32]int), make(map[string]float64)
 	for name, s := range b.services {
 		s.demand.decay(now)
@@ -109,7 +109,7 @@
 // this VM reported last: its own requests would else count twice.
 func (b *Balancer) SetRegionSums(now time.Time, name string, inFlight map[uint32]int, needs map[string]float64) {
 	b.mu.Lock()
-	own := b.reported
+	own := b.lastReport
 	b.mu.Unlock()
 	others := &PeerReport{InFlight: make(map[uint32]int, len(inFlight)), Aggregated: true, At: now}
 	for key, n := range inFlight {
@@ -154,7 +154,7 @@
 func (b *Balancer) RegionSums(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	inFlight, needs = b.localPart(now)
+	inFlight, needs = b.localCounts(now)
 	for _, p := range b.peers {
 		services, near := p.Demand[b.options.Region]
 		if !near || p.Aggregated || now.Sub(p.At) >= peerTTL {
--- a/edge/placing/queue.go
+++ b/edge/placing/queue.go
@@ -9,8 +9,8 @@
 type Waiter struct {
 	request *Request
 	region  string
-	// last is until when an answer is worth waiting for.
-	last time.Time
+	// latestEnd is until when an answer is worth waiting for.
+	latestEnd time.Time
 	// decided gets the outcome once.
 	decided chan Decision
 }
@@ -75,7 +75,7 @@
 	sum := time.Duration(0)
 	for _, other := range q.waiting {
 		if !w.less(other, now) {
-			sum += other.request.work()
+			sum += other.request.serviceTime()
 		}
 	}
 	return sum
--- a/edge/placing/regions.go
+++ b/edge/placing/regions.go
@@ -5,10 +5,10 @@
 // regionFor returns the region that runs a request: the one whose weight is due if
 // it can answer in time there, "" if no region has a target.
 func (b *Balancer) regionFor(now time.Time, s *service, r *Request) string {
-	if own := b.options.Region; r.Large && r.allows(own) && s.slots(now, own) > 0 && s.use(now, own) < largeLocalUse {
+	if own := b.options.Region; r.Large && r.allows(own) && s.slots(now, own) > 0 && s.utilization(now, own) < largeLocalUtilization {
 		return own
 	}
-	work := r.work()
+	work := r.serviceTime()
 	region, ok := s.weights.pick(r, b.tolerance, func(region string) bool {
 		if !r.allows(region) || s.slots(now, region) == 0 {
 			return false
@@ -43,7 +43,7 @@
 		capacity[region] = float64(s.slots(now, region))
 	}
 	if s.weights.weight == nil {
-		s.weights.begin(now, b.options.Region, capacity)
+		s.weights.initialize(now, b.options.Region, capacity)
 	}
 	s.weights.step(now, planWeights(b.options.Region, b.demandOf(now, s), capacity), b.shiftRate(now, s))
 }
@@ -51,12 +51,12 @@
 // shiftRate is how much of the requests may change their region in a second.
 func (b *Balancer) shiftRate(now time.Time, s *service) float64 {
 	switch {
-	case !b.lossAt.IsZero() && now.Sub(b.lossAt) < lossFor:
-		return lossRate
-	case !s.refusedAt.IsZero() && now.Sub(s.refusedAt) < refusedFor:
-		return refusedRate
+	case !b.lossAt.IsZero() && now.Sub(b.lossAt) < lossWindow:
+		return lossShiftRate
+	case !s.refusedAt.IsZero() && now.Sub(s.refusedAt) < refusalWindow:
+		return refusalShiftRate
 	}
-	return calmRate
+	return baseShiftRate
 }
 
 func (b *Balancer) demandOf(now time.Time, s *service) map[string]float64 {
--- a/edge/placing/replay_test.go
+++ b/edge/placing/replay_test.go
@@ -14,12 +14,12 @@
 // went to one that did not know the key, worked three times as long there, and
 // filled that one for others in turn.
 func TestColdStartDoesNotLast(t *testing.T) {
-	w := newWorld(t, map[string]int{"a": 10, "b": 2, "c": 8}, 3, 4, 480*time.Millisecond, 0)
+	w := newSimulation(t, map[string]int{"a": 10, "b": 2, "c": 8}, 3, 4, 480*time.Millisecond, 0)
 	w.load(25, 60, 20*time.Second)
 	w.run(5 * time.Second)
-	w.takeShare()
+	w.takeObjectiveShare()
 	w.run(15 * time.Second)
-	if share := w.takeShare(); share < 0.85 {
+	if share := w.takeObjectiveShare(); share < 0.85 {
 		t.Errorf("%.2f of the requests met their objective after the first seconds", share)
 	}
 }
@@ -29,7 +29,7 @@
 // them late.
 func TestSeldomObjectsHaveOneTargetOfARegion(t *testing.T) {
 	const keys, regions = 60, 3
-	w := newWorld(t, map[string]int{"a": 6, "b": 6, "c": 6}, 3, 6, 360*time.Millisecond, 0)
+	w := newSimulation(t, map[string]int{"a": 6, "b": 6, "c": 6}, 3, 6, 360*time.Millisecond, 0)
 	w.load(40, keys, 20*time.Second)
 	w.run(20 * time.Second)
 	if most := keys * regions * 5 / 4; w.result.coldRuns > most {
@@ -40,7 +40,7 @@
 // A region has a tenth of the targets and a third of the callers. Its callers are
 // served as well as the others, in other regions.
 func TestSmallRegionIsServedElsewhere(t *testing.T) {
-	w := newWorld(t, map[string]int{"a": 10, "b": 2, "c": 8}, 3, 4, 480*time.Millisecond, 0)
+	w := newSimulation(t, map[string]int{"a": 10, "b": 2, "c": 8}, 3, 4, 480*time.Millisecond, 0)
 	w.load(25, 60, 15*time.Second)
 	w.run(15 * time.Second)
 	last := w.result.regions[int(w.now.Unix()/2)-2]
@@ -54,7 +54,7 @@
 // more than the cap from one window of two seconds to the next.
 func TestRequestsChangeTheirRegionSlowly(t *testing.T) {
 	const cap = 0.15
-	w := newWorld(t, map[string]int{"a": 4, "b": 4, "c": 4}, 3, 4, 400*time.Millisecond, 0)
+	w := newSimulation(t, map[string]int{"a": 4, "b": 4, "c": 4}, 3, 4, 400*time.Millisecond, 0)
 	w.load(20, 60, 30*time.Second)
 	for range 10 {
 		w.run(2 * time.Second)
@@ -62,7 +62,7 @@
 	for i, b := range w.balancers {
 		if b.options.Region == "a" {
 			_ = i
-			w.loadOn(i, 40, 60, 6*time.Second)
+			w.loadVM(i, 40, 60, 6*time.Second)
 		}
 	}
 	w.run(10 * time.Second)
@@ -80,15 +80,15 @@
 	}
 }
 
-func (w *world) loadOn(vm int, perSecond float64, things int, d time.Duration) {
+func (w *simulation) loadVM(vm int, perSecond float64, keys int, d time.Duration) {
 	end := w.now.Add(d)
 	var next func()
 	next = func() {
 		if w.now.After(end) {
 			return
 		}
-		w.ask(vm, HashOf(fmt.Sprint("object-", w.random.IntN(things))))
-		w.after(time.Duration(w.random.ExpFloat64()/perSecond*float64(time.Second)), next)
+		w.sendRequest(vm, HashOf(fmt.Sprint("object-", w.random.IntN(keys))))
+		w.schedule(time.Duration(w.random.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	next()
 }
@@ -110,7 +110,7 @@
 // crash: in sum they get no more than their rate and one first request of each owner.
 func TestColdTargetsGetTheirRateInSum(t *testing.T) {
 	const rate = 5.0
-	w := newWorld(t, map[string]int{"a": 3, "b": 3, "c": 3}, 9, 4, 300*time.Millisecond, rate)
+	w := newSimulation(t, map[string]int{"a": 3, "b": 3, "c": 3}, 9, 4, 300*time.Millisecond, rate)
 	w.load(8, 200, 12*time.Second)
 	w.run(3 * time.Second)
 	service := map[string]site.Service{serviceName: {Name: serviceName, ColdRate: rate, ColdTime: 3 * time.Second}}
@@ -118,7 +118,7 @@
 	for _, s := range w.targets {
 		list = append(list, TargetSpec{Target: site.Target{ID: s.id, Service: serviceName, Zone: s.region + "1", Slots: s.slots}})
 	}
-	w.targets["a-new"] = &simTarget{id: "a-new", region: "a", slots: 4, slow: 1, most: maxKnown}
+	w.targets["a-new"] = &simTarget{id: "a-new", region: "a", slots: 4, slowdown: 1, maxKeys: maxWarmKeysPerTarget}
 	cold := TargetSpec{
 		Target:    site.Target{ID: "a-new", Service: serviceName, Zone: "a1", Slots: 4, ColdFor: 3 * time.Second},
 		ColdUntil: w.now.Add(3 * time.Second),
@@ -127,7 +127,7 @@
 		b.SetTargets(w.now, service, append(list, cold), nil)
 	}
 	w.run(3 * time.Second)
-	if got := w.mostInASecond("a-new"); got > int(rate)+coldSenders {
+	if got := w.peakPerSecond("a-new"); got > int(rate)+coldSenders {
 		t.Errorf("%d requests in one second", got)
 	}
 	if len(w.result.perSecond["a-new"]) == 0 {
@@ -138,15 +138,15 @@
 // More comes than all targets can do. Requests that are not served learn it early, and
 // those that are served meet their objective.
 func TestOverloadRefusesEarly(t *testing.T) {
-	w := newWorld(t, map[string]int{"a": 2, "b": 2, "c": 2}, 2, 3, 480*time.Millisecond, 0)
+	w := newSimulation(t, map[string]int{"a": 2, "b": 2, "c": 2}, 2, 3, 480*time.Millisecond, 0)
 	w.load(60, 20, 20*time.Second)
 	w.run(8 * time.Second)
-	w.takeShare()
+	w.takeObjectiveShare()
 	w.run(10 * time.Second)
 	r := w.result
 	served := r.inObjective + r.late
-	if r.refused == 0 || r.failed > r.asked/50 {
-		t.Errorf("refused %d failed %d of %d", r.refused, r.failed, r.asked)
+	if r.refused == 0 || r.failed > r.sent/50 {
+		t.Errorf("refused %d failed %d of %d", r.refused, r.failed, r.sent)
 	}
 	// 18 slots do some 125 warm requests a second, of 360 that come.
 	if served < 900 {
@@ -158,33 +158,33 @@
 // seconds, yet those whose objective passed while they waited were refused, and came back later
 // than slots became free. No more than one in twenty may be.
 func TestLateRequestsRunInFreeSlots(t *testing.T) {
-	w := newWorld(t, map[string]int{"a": 3, "b": 3, "c": 3}, 2, 3, 360*time.Millisecond, 0)
+	w := newSimulation(t, map[string]int{"a": 3, "b": 3, "c": 3}, 2, 3, 360*time.Millisecond, 0)
 	w.deadline = 2 * time.Second
 	w.load(10, 60, 20*time.Second)
 	w.run(10 * time.Second)
-	w.takeShare()
+	w.takeObjectiveShare()
 	for i := range w.balancers {
-		w.loadOn(i, 70, 60, 250*time.Millisecond)
+		w.loadVM(i, 70, 60, 250*time.Millisecond)
 	}
 	w.run(4 * time.Second)
 	r := w.result
-	w.takeShare()
-	if r.refused > r.asked/20 {
-		t.Errorf("%d of %d refused in a rush of 0.25 s", r.refused, r.asked)
+	w.takeObjectiveShare()
+	if r.refused > r.sent/20 {
+		t.Errorf("%d of %d refused in a rush of 0.25 s", r.refused, r.sent)
 	}
 }
 
 // A target works five times as long. Callers notice for a moment only.
 func TestSlowTargetIsAvoided(t *testing.T) {
-	w := newWorld(t, map[string]int{"a": 4, "b": 4, "c": 4}, 2, 4, 300*time.Millisecond, 0)
+	w := newSimulation(t, map[string]int{"a": 4, "b": 4, "c": 4}, 2, 4, 300*time.Millisecond, 0)
 	w.load(25, 60, 20*time.Second)
 	w.run(8 * time.Second)
-	w.takeShare()
-	w.targets["a-1"].slow = 5
+	w.takeObjectiveShare()
+	w.targets["a-1"].slowdown = 5
 	w.run(2 * time.Second)
-	w.takeShare()
+	w.takeObjectiveShare()
 	w.run(8 * time.Second)
-	if share := w.takeShare(); share < 0.9 {
+	if share := w.takeObjectiveShare(); share < 0.9 {
 		t.Errorf("%.2f met their objective beside a slow target", share)
 	}
 }
@@ -194,33 +194,33 @@
 // what warm targets do, and the keys fill half of what targets keep. After the first runs
 // no deployment may leave more than 0.15 of its callers without an answer within their objective.
 func TestOtherDeploymentsAreServedAsWell(t *testing.T) {
-	serveOthers(t, 4, 16)
+	testDeployments(t, 4, 16)
 }
 
 // The same with targets that work on one request at a time. Two requests that meet there
 // are one after the other, and a third comes late.
 func TestTargetsOfOneSlotServeAsWell(t *testing.T) {
-	serveOthers(t, 1)
+	testDeployments(t, 1)
 }
 
-func serveOthers(t *testing.T, slots ...int) {
+func testDeployments(t *testing.T, slots ...int) {
 	for _, n := range slots {
 		for _, cold := range []time.Duration{20 * time.Millisecond, 360 * time.Millisecond, 5 * time.Second} {
 			for _, known := range []int{3, 40} {
 				for _, regions := range []map[string]int{{"a": 6}, {"a": 4, "b": 4, "c": 4, "d": 4, "e": 4}} {
 					name := fmt.Sprintf("cold %v, %d slots, %d keys, %d regions", cold, n, known, len(regions))
-					t.Run(name, func(t *testing.T) { serveOther(t, regions, n, known, cold) })
+					t.Run(name, func(t *testing.T) { testDeployment(t, regions, n, known, cold) })
 				}
 			}
 		}
 	}
 }
 
-func serveOther(t *testing.T, regions map[string]int, slots, known int, cold time.Duration) {
+func testDeployment(t *testing.T, regions map[string]int, slots, known int, cold time.Duration) {
 	const vms, use = 2, 0.4
 	objective := cold * 5 / 6
-	w := newWorldOf(t, shape{
-		regions: regions, vms: vms, slots: slots, cold: cold, known: known, objective: objective, deadline: 6 * objective,
+	w := newSimulationFrom(t, simulationConfig{
+		regions: regions, vms: vms, slots: slots, cold: cold, warmKeys: known, objective: objective, deadline: 6 * objective,
 	})
 	targets := len(w.targets) / len(regions)
 	perSecond := use * float64(slots*targets) / w.warm.Seconds() / vms
@@ -229,9 +229,9 @@
 	half := time.Duration(float64(keys*10)/perSecond/vms*float64(time.Second)) + 3*cold
 	w.load(perSecond, keys, 2*half)
 	w.run(half)
-	w.takeShare()
+	w.takeObjectiveShare()
 	w.run(half)
-	if share := w.takeShare(); share < 0.85 {
+	if share := w.takeObjectiveShare(); share < 0.85 {
 		t.Errorf("%.2f of the requests met their objective", share)
 	}
 }
--- a/edge/placing/request.go
+++ b/edge/placing/request.go
@@ -24,12 +24,14 @@
 
 func (r *Request) allows(region string) bool { return r.Allowed == nil || r.Allowed(region) }
 
-// work is how long a target that is warm for the key needs.
-func (r *Request) work() time.Duration { return r.Class.work(r.HasKey) }
+// serviceTime is how long a target that is warm for the key needs.
+func (r *Request) serviceTime() time.Duration { return r.Class.serviceTime(r.HasKey) }
 
 // missesObjective reports whether the request would miss its latency objective if it
 // began now.
-func (r *Request) missesObjective(now time.Time) bool { return now.Add(r.work()).After(r.Objective) }
+func (r *Request) missesObjective(now time.Time) bool {
+	return now.Add(r.serviceTime()).After(r.Objective)
+}
 
 // lateShare is the part of the time between a request's latency objective and its
 // deadline in which it is still run if a slot is free. With none, callers are refused
--- a/edge/placing/serve.go
+++ b/edge/placing/serve.go
@@ -23,14 +23,14 @@
 	if len(s.queue.waiting) == 0 {
 		return
 	}
-	s.forgetLoads()
+	s.resetLoads()
 	s.queue.demoteLate(now)
 	kept := s.queue.waiting[:0]
 	ahead := make(map[string]time.Duration)
 	for _, w := range s.queue.waiting {
 		d, ok := b.decide(now, s, w, ahead[w.region])
 		if !ok {
-			ahead[w.region] += w.request.work()
+			ahead[w.region] += w.request.serviceTime()
 			kept = append(kept, w)
 			continue
 		}
@@ -50,9 +50,9 @@
 	if d, ok := b.assign(now, s, w.request, w.region); ok {
 		return d, true
 	}
-	wait := time.Duration(float64(ahead) / s.pace(now, w.region))
-	need := wait + w.request.work() + b.options.RTT(w.region)
-	if now.Add(need).After(w.last) {
+	wait := time.Duration(float64(ahead) / s.slotShare(now, w.region))
+	need := wait + w.request.serviceTime() + b.options.RTT(w.region)
+	if now.Add(need).After(w.latestEnd) {
 		return s.refusal(now, w.region, wait, need), true
 	}
 	return Decision{}, false
--- a/edge/placing/service.go
+++ b/edge/placing/service.go
@@ -27,14 +27,14 @@
 	}
 }
 
-// usual is what is usual at the targets of a service.
-type usual struct {
+// serviceAverages is what is serviceAverages at the targets of a service.
+type serviceAverages struct {
 	// occupancy is how long a busy slot is kept.
 	occupancy time.Duration
 	failures  *serviceFailures
 }
 
-// usualFor is what a request may expect of the targets of its service.
-func (s *service) usualFor(r *Request) usual {
-	return usual{occupancy: s.occupancy.ofBusySlot(r.work()), failures: &s.failures}
+// averagesFor is what a request may expect of the targets of its service.
+func (s *service) averagesFor(r *Request) serviceAverages {
+	return serviceAverages{occupancy: s.occupancy.lengthBiasedMean(r.serviceTime()), failures: &s.failures}
 }
--- a/edge/placing/world_test.go
+++ b/edge/placing/simulation_test.go
@@ -12,9 +12,9 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// world replays a load on several VMs' balancers and simulated targets, with virtual
+// simulation replays a load on several VMs' balancers and simulated targets, with virtual
 // time. Targets have slots and a queue, and keep the keys they handled last.
-type world struct {
+type simulation struct {
 	t         *testing.T
 	now       time.Time
 	events    events
@@ -25,14 +25,14 @@
 	classes   []*Class
 	// objective and deadline of every request, cold and warm its work.
 	objective, deadline, cold, warm time.Duration
-	turn                            time.Duration
-	// owned has the owner of a key among the VMs of a region decide on its requests.
-	owned  bool
-	result worldResult
+	reportInterval                  time.Duration
+	// routeByOwner has the owner of a key among the VMs of a region decide on its requests.
+	routeByOwner bool
+	result       simulationResult
 }
 
-type worldResult struct {
-	asked, inObjective, late, refused, failed int
+type simulationResult struct {
+	sent, inObjective, late, refused, failed int
 	// perSecond counts the arrivals at each target in each second.
 	perSecond map[string]map[int]int
 	// regions counts where the requests of each region's callers ran, in windows
@@ -47,25 +47,25 @@
 	slots      int
 	running    int
 	queue      []func()
-	known      []uint64
-	slow       float64
-	// most is how many keys it keeps.
-	most int
+	warmKeys   []uint64
+	slowdown   float64
+	// maxKeys is how many keys it keeps.
+	maxKeys int
 }
 
-// maxKnown is how many keys a simulated target keeps at hand.
-const maxKnown = 40
+// maxWarmKeysPerTarget is how many keys a simulated target keeps at hand.
+const maxWarmKeysPerTarget = 40
 
 func (s *simTarget) isWarm(key uint64) bool {
-	for i, o := range s.known {
+	for i, o := range s.warmKeys {
 		if o == key {
-			s.known = append(append(s.known[:i:i], s.known[i+1:]...), key)
+			s.warmKeys = append(append(s.warmKeys[:i:i], s.warmKeys[i+1:]...), key)
 			return true
 		}
 	}
-	s.known = append(s.known, key)
-	if len(s.known) > s.most {
-		s.known = s.known[1:]
+	s.warmKeys = append(s.warmKeys, key)
+	if len(s.warmKeys) > s.maxKeys {
+		s.warmKeys = s.warmKeys[1:]
 	}
 	return false
 }
@@ -96,8 +96,8 @@
 // farDelay is between regions, there and back.
 const farDelay = 24 * time.Millisecond
 
-// shape is what a world is made of.
-type shape struct {
+// simulationConfig is what a world is made of.
+type simulationConfig struct {
 	// regions has the targets of each region by its name; vms is for each region.
 	regions    map[string]int
 	vms, slots int
@@ -105,25 +105,25 @@
 	cold time.Duration
 	// coldRate is what a target bears after its start, 0 without a bound.
 	coldRate float64
-	// known is how many keys a target keeps at hand.
-	known               int
+	// warmKeys is how many keys a target keeps at hand.
+	warmKeys            int
 	objective, deadline time.Duration
 }
 
-// newWorld has vms VMs and targets targets in each of the regions.
-func newWorld(t *testing.T, regions map[string]int, vms, slots int, cold time.Duration, coldRate float64) *world {
-	return newWorldOf(t, shape{
-		regions: regions, vms: vms, slots: slots, cold: cold, coldRate: coldRate, known: maxKnown,
+// newSimulation has vms VMs and targets targets in each of the regions.
+func newSimulation(t *testing.T, regions map[string]int, vms, slots int, cold time.Duration, coldRate float64) *simulation {
+	return newSimulationFrom(t, simulationConfig{
+		regions: regions, vms: vms, slots: slots, cold: cold, coldRate: coldRate, warmKeys: maxWarmKeysPerTarget,
 		objective: 300 * time.Millisecond, deadline: time.Second,
 	})
 }
 
-func newWorldOf(t *testing.T, o shape) *world {
-	w := &world{
+func newSimulationFrom(t *testing.T, o simulationConfig) *simulation {
+	w := &simulation{
 		t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(7, 7)),
 		targets: make(map[string]*simTarget), objective: o.objective, deadline: o.deadline,
-		cold: o.cold, warm: o.cold * 3 / 10, turn: max(leastTurn, o.cold/50),
-		result: worldResult{perSecond: make(map[string]map[int]int), regions: make(map[int]map[string]float64)},
+		cold: o.cold, warm: o.cold * 3 / 10, reportInterval: max(minReportInterval, o.cold/50),
+		result: simulationResult{perSecond: make(map[string]map[int]int), regions: make(map[int]map[string]float64)},
 	}
 	names := slices.Sorted(maps.Keys(o.regions))
 	regionOf := make(map[string]string)
@@ -132,7 +132,7 @@
 		regionOf[region+"1"] = region
 		for i := range o.regions[region] {
 			id := fmt.Sprintf("%s-%d", region, i)
-			w.targets[id] = &simTarget{id: id, region: region, slots: o.slots, slow: 1, most: o.known}
+			w.targets[id] = &simTarget{id: id, region: region, slots: o.slots, slowdown: 1, maxKeys: o.warmKeys}
 			list = append(list, TargetSpec{Target: site.Target{ID: id, Service: serviceName, Zone: region + "1", Slots: o.slots}})
 		}
 	}
@@ -144,7 +144,7 @@
 }
 
 // addVMs puts VMs in a region.
-func (w *world) addVMs(region string, vms int, regionOf map[string]string, service map[string]site.Service, list []TargetSpec) {
+func (w *simulation) addVMs(region string, vms int, regionOf map[string]string, service map[string]site.Service, list []TargetSpec) {
 	var names []string
 	for i := range vms {
 		names = append(names, fmt.Sprintf("vm-%s-%d", region, i))
@@ -166,17 +166,17 @@
 	}
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) schedule(d time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now.Add(d), w.seq, run})
 }
 
-// leastTurn is how often the balancers tell each other; they do so less often where work
+// minReportInterval is how often the balancers tell each other; they do so less often where work
 // takes seconds.
-const leastTurn = 20 * time.Millisecond
+const minReportInterval = 20 * time.Millisecond
 
 // run plays for a time; the balancers tell each other every turn.
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	end := w.now.Add(d)
 	w.exchange(end)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
@@ -187,7 +187,7 @@
 	w.now = end
 }
 
-func (w *world) exchange(end time.Time) {
+func (w *simulation) exchange(end time.Time) {
 	for i, from := range w.balancers {
 		inFlight, needs := from.Report(w.now)
 		for j, to := range w.balancers {
@@ -202,13 +202,13 @@
 		b.Tick(w.now)
 	}
 	if w.now.Before(end) {
-		w.after(w.turn, func() { w.exchange(end) })
+		w.schedule(w.reportInterval, func() { w.exchange(end) })
 	}
 }
 
 // load sends perSecond requests a second through each VM, about things keys,
 // for a time.
-func (w *world) load(perSecond float64, things int, d time.Duration) {
+func (w *simulation) load(perSecond float64, keys int, d time.Duration) {
 	for i := range w.balancers {
 		var next func()
 		end := w.now.Add(d)
@@ -216,16 +216,16 @@
 			if w.now.After(end) {
 				return
 			}
-			w.ask(i, HashOf(fmt.Sprint("object-", w.random.IntN(things))))
-			w.after(time.Duration(w.random.ExpFloat64()/perSecond*float64(time.Second)), next)
+			w.sendRequest(i, HashOf(fmt.Sprint("object-", w.random.IntN(keys))))
+			w.schedule(time.Duration(w.random.ExpFloat64()/perSecond*float64(time.Second)), next)
 		}
-		w.after(time.Duration(w.random.Float64()/perSecond*float64(time.Second)), next)
+		w.schedule(time.Duration(w.random.Float64()/perSecond*float64(time.Second)), next)
 	}
 }
 
-func (w *world) ask(vm int, key uint64) {
-	w.result.asked++
-	if w.owned {
+func (w *simulation) sendRequest(vm int, key uint64) {
+	w.result.sent++
+	if w.routeByOwner {
 		vm = w.ownerOf(vm, key)
 	}
 	b := w.balancers[vm]
@@ -236,26 +236,26 @@
 	}
 	d, waiter := b.Place(w.now, r)
 	if waiter == nil {
-		w.decided(vm, r, d, arrived)
+		w.handleDecision(vm, r, d, arrived)
 		return
 	}
 	var poll func()
 	poll = func() {
 		select {
 		case d := <-waiter.Decided():
-			w.decided(vm, r, d, arrived)
+			w.handleDecision(vm, r, d, arrived)
 		default:
 			if w.now.After(r.Deadline) {
 				w.t.Fatal("a request waits beyond its deadline")
 			}
-			w.after(time.Millisecond, poll)
+			w.schedule(time.Millisecond, poll)
 		}
 	}
 	poll()
 }
 
 // ownerOf is the VM of the same region that decides on a key.
-func (w *world) ownerOf(vm int, key uint64) int {
+func (w *simulation) ownerOf(vm int, key uint64) int {
 	best, highest := vm, uint64(0)
 	for i, b := range w.balancers {
 		if b.options.Region != w.balancers[vm].options.Region {
@@ -268,13 +268,13 @@
 	return best
 }
 
-func (w *world) decided(vm int, r *Request, d Decision, arrived time.Time) {
+func (w *simulation) handleDecision(vm int, r *Request, d Decision, arrived time.Time) {
 	if d.Target == nil {
 		w.result.refused++
 		return
 	}
 	s := w.targets[d.Target.ID]
-	w.count(vm, s)
+	w.countArrival(vm, s)
 	sent := w.now
 	delay := w.balancers[vm].options.RTT(s.region)
 	start := func() {
@@ -284,8 +284,8 @@
 		} else {
 			w.result.coldRuns++
 		}
-		work = time.Duration(float64(work) * s.slow * (0.85 + 0.3*w.random.Float64()))
-		w.after(work, func() {
+		work = time.Duration(float64(work) * s.slowdown * (0.85 + 0.3*w.random.Float64()))
+		w.schedule(work, func() {
 			s.running--
 			if len(s.queue) > 0 {
 				next := s.queue[0]
@@ -293,7 +293,7 @@
 				s.running++
 				next()
 			}
-			w.after(delay/2, func() {
+			w.schedule(delay/2, func() {
 				end := Answered
 				if w.now.After(r.Deadline) {
 					end = Cancelled
@@ -307,7 +307,7 @@
 			})
 		})
 	}
-	w.after(delay/2, func() {
+	w.schedule(delay/2, func() {
 		if s.running < s.slots {
 			s.running++
 			start()
@@ -317,7 +317,7 @@
 	})
 }
 
-func (w *world) count(vm int, s *simTarget) {
+func (w *simulation) countArrival(vm int, s *simTarget) {
 	if w.result.perSecond[s.id] == nil {
 		w.result.perSecond[s.id] = make(map[int]int)
 	}
@@ -330,18 +330,18 @@
 }
 
 // share of the requests that met their objective, over those since the last call.
-func (w *world) takeShare() float64 {
+func (w *simulation) takeObjectiveShare() float64 {
 	r := w.result
-	share := float64(r.inObjective) / float64(max(1, r.asked))
+	share := float64(r.inObjective) / float64(max(1, r.sent))
 	w.t.Logf("asked %d in objective %d late %d refused %d failed %d, %d cold runs",
-		r.asked, r.inObjective, r.late, r.refused, r.failed, r.coldRuns)
-	w.result.asked, w.result.inObjective, w.result.late, w.result.refused, w.result.failed = 0, 0, 0, 0, 0
+		r.sent, r.inObjective, r.late, r.refused, r.failed, r.coldRuns)
+	w.result.sent, w.result.inObjective, w.result.late, w.result.refused, w.result.failed = 0, 0, 0, 0, 0
 	w.result.coldRuns = 0
 	return share
 }
 
-// mostInASecond is the most arrivals at one target in any second.
-func (w *world) mostInASecond(id string) int {
+// peakPerSecond is the most arrivals at one target in any second.
+func (w *simulation) peakPerSecond(id string) int {
 	most := 0
 	for at := range w.result.perSecond[id] {
 		sum := 0
--- a/edge/placing/targetspec.go
+++ b/edge/placing/targetspec.go
@@ -19,11 +19,11 @@
 	defer b.mu.Unlock()
 	listed := make(map[string]bool, len(list))
 	for _, l := range list {
-		if !b.serves(services, l) {
+		if !b.isKnown(services, l) {
 			continue
 		}
 		listed[l.ID] = true
-		b.setTarget(now, b.service(services, l.Service), l, evacuated[l.Zone])
+		b.setTarget(now, b.ensureService(services, l.Service), l, evacuated[l.Zone])
 	}
 	for _, s := range b.services {
 		for id, t := range s.targets {
@@ -32,21 +32,21 @@
 				delete(s.targets, id)
 			}
 		}
-		s.sortRegions()
+		s.groupByRegion()
 		b.setColdRate(s, services[s.Name].ColdRate)
 	}
 	b.serveAll(now)
 }
 
-// serves reports whether a target can get requests: its service and its failure domain
+// isKnown reports whether a target can get requests: its service and its failure domain
 // are known. Others would count as capacity of a region that does not exist.
-func (b *Balancer) serves(services map[string]site.Service, l TargetSpec) bool {
+func (b *Balancer) isKnown(services map[string]site.Service, l TargetSpec) bool {
 	_, service := services[l.Service]
 	_, zone := b.options.RegionOf[l.Zone]
 	return service && zone
 }
 
-func (b *Balancer) service(services map[string]site.Service, name string) *service {
+func (b *Balancer) ensureService(services map[string]site.Service, name string) *service {
 	s := b.services[name]
 	if s == nil {
 		known := services[name]
@@ -77,23 +77,23 @@
 	usable := !l.Draining && !evacuated
 	if usable && t.evacuated {
 		// Its domain is taken back: it may have become cold meanwhile.
-		t.coldTill = now.Add(s.ColdTime)
+		t.coldUntil = now.Add(s.ColdTime)
 	}
 	t.usable, t.evacuated, t.leaving = usable, evacuated, l.Draining
 	// The fields that name the target stay as they are: the request path reads
 	// them without the lock.
 	t.Slots = l.Slots
-	t.delay = b.options.RTT(t.Region)
-	if l.ColdFor > 0 && l.ColdUntil.Add(coldMargin).After(t.coldTill) {
-		t.coldTill = l.ColdUntil.Add(coldMargin)
+	t.rtt = b.options.RTT(t.Region)
+	if l.ColdFor > 0 && l.ColdUntil.Add(coldMargin).After(t.coldUntil) {
+		t.coldUntil = l.ColdUntil.Add(coldMargin)
 	}
 }
 
 func (b *Balancer) newTarget(l TargetSpec) *Target {
 	region, hash := b.options.RegionOf[l.Zone], HashOf(l.ID)
 	return &Target{
-		Target: l.Target, Region: region, hash: hash, delay: b.options.RTT(region), remote: b.remoteAt(TargetKey(hash)),
-		warm: make(map[uint64]time.Time), slow: 1,
+		Target: l.Target, Region: region, hash: hash, rtt: b.options.RTT(region), remote: b.remoteCountOf(TargetKey(hash)),
+		warm: make(map[uint64]time.Time), slowdown: 1,
 	}
 }
 
@@ -104,7 +104,7 @@
 	return t.leaving
 }
 
-func (s *service) sortRegions() {
+func (s *service) groupByRegion() {
 	s.regions = make(map[string][]*Target)
 	for _, t := range s.targets {
 		s.regions[t.Region] = append(s.regions[t.Region], t)
--- a/edge/placing/weights.go
+++ b/edge/placing/weights.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// fillShare of a region's slots is planned for its own callers before the
+	// plannedUtilization of a region's slots is planned for its own callers before the
 	// rest goes elsewhere: above it, requests wait for each other, and the delay to
 	// another region is short against their latency objective.
-	fillShare = 0.5
-	// startUse is the part of all slots that is taken to be asked for until demand
+	plannedUtilization = 0.5
+	// initialUtilization is the part of all slots that is taken to be asked for until demand
 	// is measured.
-	startUse = 0.6
-	// calmRate is how much of a region's requests may change their region in a second:
+	initialUtilization = 0.6
+	// baseShiftRate is how much of a region's requests may change their region in a second:
 	// half of what the cap permits between two windows of two seconds at most, the
 	// rest is for chance.
-	calmRate = 0.02
-	// refusedRate is the same while callers are refused for want of slots, and for
+	baseShiftRate = 0.02
+	// refusalShiftRate is the same while callers are refused for want of slots, and for
 	// refusedFor after. Load pattern: a surge goes round the regions; with calmRate the
 	// weights come too late for each one, and callers are refused though another region
 	// has half of its slots free. It leaves a third of the cap for chance. To move so fast
 	// always would cost more cold runs on a calm day than it serves.
-	refusedRate = 0.05
-	refusedFor  = time.Second
-	// lossRate is the same while a region loses capacity: callers would be refused.
-	lossRate = 0.5
-	// deficitTime is the time constant with which deficits fade.
-	deficitTime = 2 * time.Second
-	// demandTime is the time constant of the measured demand.
-	demandTime = 1500 * time.Millisecond
+	refusalShiftRate = 0.05
+	refusalWindow    = time.Second
+	// lossShiftRate is the same while a region loses capacity: callers would be refused.
+	lossShiftRate = 0.5
+	// deficitTimeConstant is the time constant with which deficits fade.
+	deficitTimeConstant = 2 * time.Second
+	// demandTimeConstant is the time constant of the measured demand.
+	demandTimeConstant = 1500 * time.Millisecond
 )
 
 // demand measures how many slots the arriving requests keep busy.
@@ -42,12 +42,12 @@
 // add counts a request that takes work.
 func (d *demand) add(now time.Time, work time.Duration) {
 	d.decay(now)
-	d.slots += work.Seconds() / demandTime.Seconds()
+	d.slots += work.Seconds() / demandTimeConstant.Seconds()
 }
 
 func (d *demand) decay(now time.Time) {
 	if !d.at.IsZero() {
-		d.slots *= math.Exp(-now.Sub(d.at).Seconds() / demandTime.Seconds())
+		d.slots *= math.Exp(-now.Sub(d.at).Seconds() / demandTimeConstant.Seconds())
 	}
 	d.at = now
 }
@@ -66,7 +66,7 @@
 func planWeights(own string, demand, capacity map[string]float64) map[string]float64 {
 	excess := make(map[string]float64)
 	spare, spareSum, excessSum := make(map[string]float64), 0.0, 0.0
-	fill := max(fillShare, sum(demand)/max(1, sum(capacity)))
+	fill := max(plannedUtilization, sum(demand)/max(1, sum(capacity)))
 	for region, slots := range capacity {
 		room := fill*slots - demand[region]
 		if room >= 0 {
@@ -100,17 +100,17 @@
 	// deficit is how many requests each region is behind its weight.
 	deficit map[string]float64
 	at      time.Time
-	// accrued is when the deficits faded last.
-	accrued time.Time
+	// accruedAt is when the deficits faded last.
+	accruedAt time.Time
 }
 
-// begin keeps requests in their region as far as its targets can carry an equal part
+// initialize keeps requests in their region as far as its targets can carry an equal part
 // of all callers: nothing is known of the demand yet.
-func (w *regionWeights) begin(now time.Time, own string, capacity map[string]float64) {
+func (w *regionWeights) initialize(now time.Time, own string, capacity map[string]float64) {
 	w.deficit, w.at = make(map[string]float64), now
 	needs := make(map[string]float64)
 	for region := range capacity {
-		needs[region] = startUse * sum(capacity) / float64(len(capacity))
+		needs[region] = initialUtilization * sum(capacity) / float64(len(capacity))
 	}
 	w.weight = planWeights(own, needs, capacity)
 }
@@ -156,8 +156,8 @@
 // unevenly between regions, and to make that good would send some of them to cold targets
 // by turns. Only quick changes are held back.
 func (w *regionWeights) accrue(now time.Time) {
-	left := math.Exp(-now.Sub(w.accrued).Seconds() / deficitTime.Seconds())
-	w.accrued = now
+	left := math.Exp(-now.Sub(w.accruedAt).Seconds() / deficitTimeConstant.Seconds())
+	w.accruedAt = now
 	for region := range w.deficit {
 		w.deficit[region] *= left
 	}
@@ -178,7 +178,7 @@
 			return region, true
 		}
 	}
-	return w.next(permitted)
+	return w.greatestDeficit(permitted)
 }
 
 // baseTolerance is how many requests a region may be ahead of its weight at one VM.
@@ -210,8 +210,8 @@
 	return best, best != ""
 }
 
-// next returns the permitted region with the greatest deficit.
-func (w *regionWeights) next(permitted func(region string) bool) (string, bool) {
+// greatestDeficit returns the permitted region with the greatest deficit.
+func (w *regionWeights) greatestDeficit(permitted func(region string) bool) (string, bool) {
 	best, found := "", false
 	for region := range w.weight {
 		if !permitted(region) {
