--- a/cmd/yuccaentry/main.go
+++ b/cmd/yuccaentry/main.go
@@ -128,7 +128,7 @@
 	}
 	return entry.Options{
 		VM: site.VM{
-			Name: s.Node.Name, Region: s.Node.Region, Zone: s.Node.Zone, Entry: s.Listen.Entry, Peer: peer,
+			Name: s.Node.Name, Region: s.Node.Region, Zone: s.Node.Zone, EntryAddress: s.Listen.Entry, PeerAddress: peer,
 			Incarnation: uint64(time.Now().UnixMicro()), LinkMbps: s.Limits.LinkMbps,
 		},
 		EntryAddress: s.Listen.Entry, ReadyAddress: s.Listen.Ready, DirectoryAddress: s.Listen.Directory,
--- a/edge/catalog/catalog_test.go
+++ b/edge/catalog/catalog_test.go
@@ -71,7 +71,7 @@
 		return t, nil
 	}
 	var err error
-	t.Born, err = strconv.ParseInt(born, 10, 64)
+	t.StartedMillis, err = strconv.ParseInt(born, 10, 64)
 	return t, err
 }
 func (codec) IsVM(key string) bool { return strings.HasPrefix(key, "vm/") }
--- a/edge/catalog/target.go
+++ b/edge/catalog/target.go
@@ -15,10 +15,14 @@
 type incarnations map[string]int64
 
 // isOld reports whether a registration is of an earlier start than the newest known.
-func (i incarnations) isOld(key string, t site.Target) bool { return t.Born > 0 && t.Born < i[key] }
+func (i incarnations) isOld(key string, t site.Target) bool {
+	return t.StartedMillis > 0 && t.StartedMillis < i[key]
+}
 
 // missing reports whether a registration says no start though an earlier one did.
-func (i incarnations) missing(key string, t site.Target) bool { return t.Born == 0 && i[key] > 0 }
+func (i incarnations) missing(key string, t site.Target) bool {
+	return t.StartedMillis == 0 && i[key] > 0
+}
 
 func (i incarnations) note(key string, born int64) {
 	if _, known := i[key]; born > 0 && (known || len(i) < maxNoted) {
@@ -57,11 +61,11 @@
 	delete(c.foreign, key)
 	old, known := c.targets[key]
 	c.targets[key] = Entry{Target: t, LearntAt: c.options.Now()}
-	c.incarnations.note(key, t.Born)
+	c.incarnations.note(key, t.StartedMillis)
 	switch {
 	case !known && !t.Draining:
 		c.news.add(newsNew, t.ID)
-	case known && old.Born != t.Born:
+	case known && old.StartedMillis != t.StartedMillis:
 		c.news.add(newsRestarted, t.ID)
 	case t.Draining && !old.Draining:
 		c.news.add(newsDraining, t.ID)
--- a/edge/catalog/target_test.go
+++ b/edge/catalog/target_test.go
@@ -32,7 +32,7 @@
 	f.put("target/a", "ready 100")
 	f.put("target/a", "ready 200")
 	f.put("target/a", "draining 100")
-	if got := f.View().Targets; len(got) != 1 || got[0].Born != 200 || got[0].Draining {
+	if got := f.View().Targets; len(got) != 1 || got[0].StartedMillis != 200 || got[0].Draining {
 		t.Fatalf("targets %+v", got)
 	}
 	f.remove("target/a", false)
--- a/edge/entry/counts.go
+++ b/edge/entry/counts.go
@@ -45,8 +45,8 @@
 		delegations: make(map[string]tally.Counter), ends: make(map[string]tally.Counter)}
 }
 
-// Ended implements gateway.Metrics.
-func (c *counts) Ended(route, service string, code int, took time.Duration) {
+// RequestEnded implements gateway.Metrics.
+func (c *counts) RequestEnded(route, service string, code int, took time.Duration) {
 	m := c.request(requestTags{route, service, code})
 	m.ended.Inc(1)
 	m.latency.RecordDuration(took)
@@ -66,8 +66,8 @@
 	return m
 }
 
-// Sent implements gateway.Metrics.
-func (c *counts) Sent(service, end string) {
+// AttemptEnded implements gateway.Metrics.
+func (c *counts) AttemptEnded(service, end string) {
 	c.mu.Lock()
 	tags := sendingTags{service, end}
 	counter, ok := c.sendings[tags]
@@ -79,11 +79,13 @@
 	counter.Inc(1)
 }
 
-// Delegated implements gateway.Metrics.
-func (c *counts) Delegated(end string) { c.tagged(c.delegations, "delegations", "end", end).Inc(1) }
+// RequestDelegated implements gateway.Metrics.
+func (c *counts) RequestDelegated(end string) {
+	c.tagged(c.delegations, "delegations", "end", end).Inc(1)
+}
 
-// TargetEnded implements gateway.Metrics.
-func (c *counts) TargetEnded(service string) {
+// TargetCrashed implements gateway.Metrics.
+func (c *counts) TargetCrashed(service string) {
 	c.tagged(c.ends, "target_ends", "service", service).Inc(1)
 }
 
--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -93,8 +93,8 @@
 	})
 	e.gateway = gateway.New(gateway.Options{
 		Fields: o.Names.Fields, Balancer: e.balancer, Logger: e.part("gateway"), Metrics: e.counts,
-		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMs: e.members.Count, Delay: e.delays.get,
-		Changed: e.changed, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: answerBytes,
+		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMCount: e.members.Count, RTT: e.delays.get,
+		InFlightChanged: e.changed, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: answerBytes,
 	})
 	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.part("catalog"), Changed: e.setView, Now: time.Now})
 	e.replica = replica.New(replica.Options{
@@ -238,7 +238,7 @@
 	e.tellVMs(now)
 	e.gateway.SetView(v, now)
 	for _, vm := range e.members.Others() {
-		e.delays.measure(vm.Region, vm.Peer)
+		e.delays.measure(vm.Region, vm.PeerAddress)
 	}
 }
 
@@ -248,9 +248,9 @@
 	e.regionState.setSharers(names)
 	e.balancer.SetVMs(names)
 	if live, known := e.members.DomainLive(now); known && !e.leaving.Load() {
-		e.owners.Set(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
+		e.owners.SetVMs(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
 	}
-	e.balancer.SetKeyDivision(e.owners.Divided())
+	e.balancer.SetKeyDivision(e.owners.EffectiveVMs())
 }
 
 // busy returns the requests of callers and other VMs whose answers are not wholly given.
--- a/edge/entry/entry_test.go
+++ b/edge/entry/entry_test.go
@@ -109,7 +109,7 @@
 		Version: version, Services: map[string]site.Service{"s": {Name: "s", HealthPath: "/health"}},
 		Routes: []site.Route{{
 			Name: "r", Host: "h", Prefix: prefix, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 2, Sticky: true,
-			Parts: []site.Part{{Service: "s", Weight: 1}},
+			Services: []site.WeightedService{{Service: "s", Weight: 1}},
 		}},
 		Limits: site.Limits{HeaderBytes: 8192, BodyBytes: 1 << 20, HeaderTime: time.Second, IdleTime: time.Minute},
 	})
@@ -142,7 +142,7 @@
 			},
 		},
 	}
-	o.VM = site.VM{Name: name, Region: regions[zone], Zone: zone, Entry: o.EntryAddress, Peer: peer, Incarnation: uint64(time.Now().UnixMicro())}
+	o.VM = site.VM{Name: name, Region: regions[zone], Zone: zone, EntryAddress: o.EntryAddress, PeerAddress: peer, Incarnation: uint64(time.Now().UnixMicro())}
 	e, err := entry.Start(o)
 	if err != nil {
 		f.t.Fatal(err)
--- a/edge/entry/talk.go
+++ b/edge/entry/talk.go
@@ -46,7 +46,7 @@
 // relayTo returns the VMs to which this one passes a digest on.
 func (e *Entry) relayTo() ([]exchange.Peer, exchange.Relay) {
 	at, _ := e.replica.At()
-	via := exchange.Relay{Peer: e.options.VM.Peer, Revision: uint64(at)}
+	via := exchange.Relay{Peer: e.options.VM.PeerAddress, Revision: uint64(at)}
 	return peersOf(e.members.Group(time.Now()).SameDomain, e.options.VM.Name), via
 }
 
@@ -54,7 +54,7 @@
 	list := make([]exchange.Peer, 0, len(vms))
 	for _, vm := range vms {
 		if vm.Name != but {
-			list = append(list, exchange.Peer{Name: vm.Name, Address: vm.Peer})
+			list = append(list, exchange.Peer{Name: vm.Name, Address: vm.PeerAddress})
 		}
 	}
 	return list
@@ -102,7 +102,7 @@
 	return func(s exchange.State) {
 		now := time.Now()
 		if e.members.Observe(s.VM, peers.State{At: now, Serving: s.Serving, Leaving: s.Leaving, Linked: s.Linked, NoDigest: s.NoDigest}) {
-			e.delays.measure(s.VM.Region, s.VM.Peer)
+			e.delays.measure(s.VM.Region, s.VM.PeerAddress)
 		}
 		e.takeCounts(now, s)
 		e.takeEvents(now, &s)
@@ -112,7 +112,7 @@
 		// A copy from a VM of the own failure domain costs no bytes between domains;
 		// the listener's is for when the relay does not have the change soon.
 		near := s.VM.Region == e.options.VM.Region && s.Relay == nil
-		e.replica.ObservePeer(ctx, s.VM.Peer, near, store.Revision(s.Revision), now)
+		e.replica.ObservePeer(ctx, s.VM.PeerAddress, near, store.Revision(s.Revision), now)
 	}
 }
 
--- a/edge/exchange/exchange_test.go
+++ b/edge/exchange/exchange_test.go
@@ -55,7 +55,7 @@
 		},
 		RelayTo: func() ([]Peer, Relay) { return *v.relayTo.Load(), Relay{Peer: name, Revision: 8} },
 		State: func(bool) State {
-			return State{VM: site.VM{Name: name, Incarnation: 3, Peer: "p"}, Serving: true, Revision: 9,
+			return State{VM: site.VM{Name: name, Incarnation: 3, PeerAddress: "p"}, Serving: true, Revision: 9,
 				InFlight: v.inFlight, Demand: map[string]float64{"s": 1.5}}
 		},
 		Received: func(s State) {
@@ -86,7 +86,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.received["a"]
-	if s.InFlight[7] != 1 || s.Demand["s"] != 1.5 || s.Revision != 9 || !s.Serving || s.VM.Peer != "p" {
+	if s.InFlight[7] != 1 || s.Demand["s"] != 1.5 || s.Revision != 9 || !s.Serving || s.VM.PeerAddress != "p" {
 		t.Errorf("%+v", s)
 	}
 }
--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -74,7 +74,7 @@
 	if j.forOther || j.onTrial || !j.ask.HasKey || j.ask.Large || g.options.Owners == nil {
 		return nil
 	}
-	return g.options.Owners.Of(j.ask.Key, j.in.Arrived)
+	return g.options.Owners.Lookup(j.ask.Key, j.in.Arrived)
 }
 
 // delegate has the owner of its key decide on a request. It returns false if this VM
@@ -87,7 +87,7 @@
 	began := time.Now()
 	answer, err := g.askOwner(ctx, j, o)
 	took := time.Since(began)
-	g.options.Metrics.Delegated(endOfDelegation(answer, err))
+	g.options.Metrics.RequestDelegated(endOfDelegation(answer, err))
 	if err != nil {
 		g.options.Logger.WithError(err).WithField("id", j.id).WithField("owner", o.Name).
 			WithField("ms", took.Milliseconds()).Warn("gateway: owner did not answer")
@@ -98,7 +98,7 @@
 	}
 	j.log.owner, j.log.ownerTook = o.Name, took
 	if own, ok := ownTime(answer); ok {
-		o.Took(took-own, time.Now())
+		o.RecordOverhead(took-own, time.Now())
 	}
 	return delegatedOutcome(answer), true
 }
@@ -133,7 +133,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if j.route.Kind == site.Idempotent {
-		stop := context.AfterFunc(o.Lost(), cancel)
+		stop := context.AfterFunc(o.Context(), cancel)
 		defer stop()
 	}
 	p := g.ownerPool(o)
@@ -152,10 +152,10 @@
 func (g *Gateway) ownerPool(o *owners.Owner) *pool.Pool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := g.ownerPools[o.Peer]
+	p := g.ownerPools[o.PeerAddress]
 	if p == nil {
-		p = pool.New(o.Peer, g.options.Dial(ownerDelay), ownerConnections)
-		g.ownerPools[o.Peer] = p
+		p = pool.New(o.PeerAddress, g.options.Dial(ownerDelay), ownerConnections)
+		g.ownerPools[o.PeerAddress] = p
 	}
 	return p
 }
--- a/edge/gateway/delegate_test.go
+++ b/edge/gateway/delegate_test.go
@@ -22,9 +22,9 @@
 func (f *fixture) ownedByOthers(peer string) {
 	var vms []site.VM
 	for _, name := range []string{"b", "c", "d"} {
-		vms = append(vms, site.VM{Name: name, Peer: peer})
+		vms = append(vms, site.VM{Name: name, PeerAddress: peer})
 	}
-	f.options.Owners.Set(vms, func(site.VM) bool { return true })
+	f.options.Owners.SetVMs(vms, func(site.VM) bool { return true })
 }
 
 // otherKey is a key that another VM owns.
@@ -206,7 +206,7 @@
 		answers <- asked.Handle(context.Background(), asked.keyed("GET", "/safe/x", "7", key, time.Minute, ""))
 	}()
 	<-arrived
-	asked.options.Owners.Set(nil, func(site.VM) bool { return false })
+	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
 	if a := <-answers; a.Status != http.StatusOK || s.count() != 1 {
 		t.Errorf("look-up: %d, %d requests at the target", a.Status, s.count())
 	}
@@ -220,7 +220,7 @@
 		answers <- asked.Handle(context.Background(), asked.keyed("POST", "/once/x", "8", asked.otherKey(t), 300*time.Millisecond, ""))
 	}()
 	<-arrived
-	asked.options.Owners.Set(nil, func(site.VM) bool { return false })
+	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
 	if a := <-answers; a.Status != http.StatusGatewayTimeout || s.count() != 1 {
 		t.Errorf("order: %d, %d requests at the target", a.Status, s.count())
 	}
--- a/edge/gateway/ended.go
+++ b/edge/gateway/ended.go
@@ -85,7 +85,7 @@
 	planned := g.options.Balancer.IsLeaving(t)
 	g.logEnd(t, lost, err, ended, planned)
 	if ended && !planned {
-		g.options.Metrics.TargetEnded(t.Service)
+		g.options.Metrics.TargetCrashed(t.Service)
 		g.blame(key, lost)
 	}
 }
--- a/edge/gateway/fixture_test.go
+++ b/edge/gateway/fixture_test.go
@@ -114,10 +114,10 @@
 
 type noMetrics struct{}
 
-func (noMetrics) Ended(string, string, int, time.Duration) {}
-func (noMetrics) Sent(string, string)                      {}
-func (noMetrics) Delegated(string)                         {}
-func (noMetrics) TargetEnded(string)                       {}
+func (noMetrics) RequestEnded(string, string, int, time.Duration) {}
+func (noMetrics) AttemptEnded(string, string)                     {}
+func (noMetrics) RequestDelegated(string)                         {}
+func (noMetrics) TargetCrashed(string)                            {}
 
 // fixture is a gateway before targets.
 type fixture struct {
@@ -155,7 +155,7 @@
 	board := placing.New(placing.Options{VM: "vm", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"}, Delay: delay})
 	f.Gateway = New(Options{
 		Fields: fields, Balancer: board, Logger: logrus.NewEntry(l), Metrics: noMetrics{}, RetryRatio: 0.2, RetryExtra: 50,
-		VMs: func() int { return 1 }, Delay: delay, Changed: func() {}, MaxAnswerBytes: 1 << 20,
+		VMCount: func() int { return 1 }, RTT: delay, InFlightChanged: func() {}, MaxAnswerBytes: 1 << 20,
 		Dial: dial, Owners: owners.New(site.VM{Name: "vm"}),
 	})
 	if len(targets) == 0 {
@@ -174,7 +174,7 @@
 	for name, kind := range map[string]site.Kind{"safe": site.Idempotent, "once": site.AtMostOnce} {
 		v.Config.Routes = append(v.Config.Routes, site.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second, Objective: time.Second,
-			MaxAttempts: 2, Sticky: true, Parts: []site.Part{{Service: "s", Weight: 1}},
+			MaxAttempts: 2, Sticky: true, Services: []site.WeightedService{{Service: "s", Weight: 1}},
 		})
 	}
 	for _, s := range targets {
--- a/edge/gateway/gateway.go
+++ b/edge/gateway/gateway.go
@@ -37,14 +37,14 @@
 
 // Metrics counts what happens to requests.
 type Metrics interface {
-	// Ended counts a request that ended with a numbered result.
-	Ended(route, service string, code int, took time.Duration)
-	// Sent counts one sending to a target.
-	Sent(service, end string)
-	// Delegated counts one request that was passed on to the owner of its key.
-	Delegated(end string)
-	// TargetEnded counts one target that ended without a plan while requests ran there.
-	TargetEnded(service string)
+	// RequestEnded counts a request that ended with a numbered result.
+	RequestEnded(route, service string, code int, took time.Duration)
+	// AttemptEnded counts one sending to a target.
+	AttemptEnded(service, end string)
+	// RequestDelegated counts one request that was passed on to the owner of its key.
+	RequestDelegated(end string)
+	// TargetCrashed counts one target that ended without a plan while requests ran there.
+	TargetCrashed(service string)
 }
 
 // Options configure a Gateway.
@@ -56,12 +56,12 @@
 	// RetryRatio and RetryExtra bound the sendings beyond the first of each
 	// request, of all VMs together, in a window.
 	RetryRatio, RetryExtra float64
-	// VMs returns how many VMs share the budget.
-	VMs func() int
-	// Delay is the network's to a region and back.
-	Delay func(region string) time.Duration
-	// Changed is told when the requests in flight changed. It must not block.
-	Changed func()
+	// VMCount returns how many VMs share the budget.
+	VMCount func() int
+	// RTT returns the round-trip time to a region.
+	RTT func(region string) time.Duration
+	// InFlightChanged is told when the requests in flight changed. It must not block.
+	InFlightChanged func()
 	// Owners names the VM that decides on a key; nil if this one decides on all.
 	Owners *owners.Table
 	// Quarantine knows the requests that end targets; nil if none is kept from them.
@@ -119,7 +119,7 @@
 	list := make([]placing.Listing, 0, len(v.Targets))
 	listed := make(map[string]bool, len(v.Targets))
 	for _, t := range v.Targets {
-		list = append(list, placing.Listing{Target: t.Target, ColdUntil: t.LearntAt.Add(t.ColdFor)})
+		list = append(list, placing.Listing{Target: t.Target, ColdUntil: t.LearntAt.Add(t.ColdRemaining)})
 		listed[poolKey(&t.Target)] = true
 	}
 	g.options.Balancer.SetTargets(now, v.Config.Services, list, v.Evacuated)
@@ -160,7 +160,7 @@
 // poolKey names one start of a target: connections to an earlier one are dead. It reads only
 // what never changes of a listed target, as the balancer sets the rest meanwhile.
 func poolKey(t *site.Target) string {
-	return t.ID + " " + t.Address + " " + strconv.FormatInt(t.Born, 36)
+	return t.ID + " " + t.Address + " " + strconv.FormatInt(t.StartedMillis, 36)
 }
 
 // poolOf returns the connections to a target.
@@ -169,13 +169,13 @@
 	if known := g.connections.Load(); known != nil {
 		connections = (*known)[t.Service]
 	}
-	limit := max(minPool, int(poolMargin*float64(connections))/max(1, g.options.VMs()))
+	limit := max(minPool, int(poolMargin*float64(connections))/max(1, g.options.VMCount()))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := poolKey(&t.Target)
 	p := g.pools[key]
 	if p == nil {
-		p = pool.New(t.Address, g.options.Dial(g.options.Delay(t.Region)), limit)
+		p = pool.New(t.Address, g.options.Dial(g.options.RTT(t.Region)), limit)
 		p.SetMaxIdle(firstIdle)
 		g.pools[key] = p
 	}
@@ -188,7 +188,7 @@
 	defer g.mu.Unlock()
 	b := g.budgets[service]
 	if b == nil {
-		saved := max(1, budgetMargin*g.options.RetryExtra/float64(max(1, g.options.VMs())))
+		saved := max(1, budgetMargin*g.options.RetryExtra/float64(max(1, g.options.VMCount())))
 		b = retrybudget.New(saved, saved)
 		g.budgets[service] = b
 	}
--- a/edge/gateway/probe.go
+++ b/edge/gateway/probe.go
@@ -29,7 +29,7 @@
 }
 
 func (g *Gateway) askHealth(ctx context.Context, t *placing.Target, path string) (well bool, coldFor time.Duration, err error) {
-	limit := probeTime + g.options.Delay(t.Region)
+	limit := probeTime + g.options.RTT(t.Region)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	p := g.poolOf(t)
--- a/edge/gateway/restart_test.go
+++ b/edge/gateway/restart_test.go
@@ -22,7 +22,7 @@
 		Version: 3, Services: map[string]site.Service{"s": {Name: "s", MaxConnections: 100}},
 	}}
 	v.Targets = []catalog.Entry{{Target: site.Target{
-		ID: "a", Service: "s", Address: second.listener.Addr().String(), Zone: "z", Slots: 4, Born: 9,
+		ID: "a", Service: "s", Address: second.listener.Addr().String(), Zone: "z", Slots: 4, StartedMillis: 9,
 	}}}
 	first.listener.Close()
 	f.SetView(v, time.Now())
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -85,7 +85,7 @@
 	d, w := g.options.Balancer.Place(began, &j.ask)
 	j.ask.Again = true
 	if w != nil {
-		g.options.Changed()
+		g.options.InFlightChanged()
 		select {
 		case d = <-w.Decided():
 		case <-ctx.Done():
@@ -104,7 +104,7 @@
 		}
 		return d, outcome{code: code, retryAfter: d.RetryAfter, why: d.Reason.String()}
 	}
-	g.options.Changed()
+	g.options.InFlightChanged()
 	return d, outcome{}
 }
 
@@ -210,7 +210,7 @@
 	}
 	j.log.ends = append(j.log.ends, end)
 	j.log.tookMS = append(j.log.tookMS, t.took.Milliseconds())
-	g.options.Metrics.Sent(j.service, t.code.String())
+	g.options.Metrics.AttemptEnded(j.service, t.code.String())
 	g.noteAnswer(j, t)
 	g.noteUnanswered(j, t)
 }
@@ -221,7 +221,7 @@
 	t := g.exchangeOn(ctx, j, d)
 	t.took = time.Since(began)
 	g.options.Balancer.Done(time.Now(), d, j.class, g.endOf(ctx, t), t.took)
-	g.options.Changed()
+	g.options.InFlightChanged()
 	return t
 }
 
--- a/edge/gateway/serve.go
+++ b/edge/gateway/serve.go
@@ -107,7 +107,7 @@
 		return outcome{code: result.BadDeadline, why: "deadline not understood"}
 	}
 	j.deadline = j.in.Arrived.Add(left)
-	j.service, j.class = j.route.Next()
+	j.service, j.class = j.route.NextService()
 	key := j.in.Header.Get(g.options.Fields.Affinity)
 	hasKey := key != "" && j.route.Sticky
 	if !hasKey {
@@ -231,7 +231,7 @@
 		name = j.route.Name
 	}
 	if !j.forOther {
-		g.options.Metrics.Ended(name, j.service, int(end.code), took)
+		g.options.Metrics.RequestEnded(name, j.service, int(end.code), took)
 	}
 	fields := logrus.Fields{
 		"id": j.id, "route": name, "service": j.service, "version": j.version, "result": end.code.String(),
--- a/edge/owners/owners.go
+++ b/edge/owners/owners.go
@@ -56,19 +56,19 @@
 	overhead time.Duration
 }
 
-// Lost ends when the VM has become unresponsive.
-func (o *Owner) Lost() context.Context { return o.lost }
+// Context ends when the VM has become unresponsive.
+func (o *Owner) Context() context.Context { return o.lost }
 
 // Avoid keeps this VM from using the owner for a while: it could not be reached.
 func (o *Owner) Avoid(now time.Time) { o.avoidUntil.Store(now.Add(avoidFor).UnixNano()) }
 
-// Took takes in by how much longer than the owner itself an answer took.
+// RecordOverhead takes in by how much longer than the owner itself an answer took.
 //
 // Guard against full links: with a tenth of the link of others, VMs that own keys made
 // callers wait for a fifth of a second. It shows as answers that come later than the owner
 // gave them. The guard holds because such an owner gets nothing for a while, and each VM
 // judges by the answers that it waited for.
-func (o *Owner) Took(overhead time.Duration, now time.Time) {
+func (o *Owner) RecordOverhead(overhead time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.overhead += time.Duration(overheadRate * float64(overhead-o.overhead))
@@ -78,7 +78,7 @@
 	}
 }
 
-// Table knows the owners. It is safe for use by several goroutines; Of and Divided wait for
+// Table knows the owners. It is safe for use by several goroutines; Lookup and EffectiveVMs wait for
 // nothing.
 type Table struct {
 	own    *Owner
@@ -94,9 +94,9 @@
 	return t
 }
 
-// Of returns the owner of a key, nil for this VM itself. All VMs that know the same VMs
+// Lookup returns the owner of a key, nil for this VM itself. All VMs that know the same VMs
 // find the same owner.
-func (t *Table) Of(key uint64, now time.Time) *Owner {
+func (t *Table) Lookup(key uint64, now time.Time) *Owner {
 	var best *Owner
 	lowest := t.own.rank(key)
 	for _, o := range *t.others.Load() {
@@ -110,9 +110,9 @@
 // rank orders owners for a key, the lowest first.
 func (o *Owner) rank(key uint64) float64 { return placing.WeightedRank(key, o.hash, o.share) }
 
-// Divided returns among how many VMs with equal links keys would be divided as finely as
+// EffectiveVMs returns among how many VMs with equal links keys would be divided as finely as
 // they are, this VM included.
-func (t *Table) Divided() float64 {
+func (t *Table) EffectiveVMs() float64 {
 	sum, squares := t.own.share, t.own.share*t.own.share
 	for _, o := range *t.others.Load() {
 		sum += o.share
@@ -121,9 +121,9 @@
 	return sum * sum / squares
 }
 
-// Set tells which other VMs of the failure domain take requests now. isResponsive
+// SetVMs tells which other VMs of the failure domain take requests now. isResponsive
 // reports of one that no longer does whether it still answers.
-func (t *Table) Set(vms []site.VM, isResponsive func(site.VM) bool) {
+func (t *Table) SetVMs(vms []site.VM, isResponsive func(site.VM) bool) {
 	t.setting.Lock()
 	defer t.setting.Unlock()
 	if 1+len(vms) < minVMs {
--- a/edge/owners/owners_test.go
+++ b/edge/owners/owners_test.go
@@ -12,7 +12,7 @@
 func vms(names ...string) []site.VM {
 	var list []site.VM
 	for _, name := range names {
-		list = append(list, site.VM{Name: name, Peer: name + ":1"})
+		list = append(list, site.VM{Name: name, PeerAddress: name + ":1"})
 	}
 	return list
 }
@@ -28,13 +28,13 @@
 			others = append(others, name)
 		}
 	}
-	t.Set(vms(others...), responsive)
+	t.SetVMs(vms(others...), responsive)
 	return t
 }
 
 // nameOf is the owner of a key, by a VM's table.
 func nameOf(own string, t *Table, key uint64, now time.Time) string {
-	if o := t.Of(key, now); o != nil {
+	if o := t.Lookup(key, now); o != nil {
 		return o.Name
 	}
 	return own
@@ -78,11 +78,11 @@
 func TestFewVMsOwnAllKeysThemselves(t *testing.T) {
 	table := tableOf("a", "a", "b", "c")
 	for key := range uint64(50) {
-		if table.Of(key, time.Now()) != nil {
+		if table.Lookup(key, time.Now()) != nil {
 			t.Fatal("a request is passed on among three VMs")
 		}
 	}
-	if n := table.Divided(); n != 1 {
+	if n := table.EffectiveVMs(); n != 1 {
 		t.Errorf("keys are divided among %v VMs", n)
 	}
 }
@@ -94,14 +94,14 @@
 	o := (*Owner)(nil)
 	key := uint64(0)
 	for ; o == nil; key++ {
-		o = table.Of(key, now)
+		o = table.Lookup(key, now)
 	}
 	key--
 	o.Avoid(now)
-	if got := table.Of(key, now); got == o {
+	if got := table.Lookup(key, now); got == o {
 		t.Error("used at once")
 	}
-	if got := table.Of(key, now.Add(avoidFor)); got != o {
+	if got := table.Lookup(key, now.Add(avoidFor)); got != o {
 		t.Error("not used again")
 	}
 }
@@ -111,18 +111,18 @@
 func TestOnlyUnresponsiveOwnersAreLost(t *testing.T) {
 	table := tableOf("a", "a", "b", "c", "d", "e")
 	known := *table.others.Load()
-	table.Set(vms("b", "c", "d"), responsive)
+	table.SetVMs(vms("b", "c", "d"), responsive)
 	for _, o := range known {
-		if o.Lost().Err() != nil {
+		if o.Context().Err() != nil {
 			t.Errorf("%s is lost though it answers", o.Name)
 		}
 	}
 	if kept := (*table.others.Load())[0]; kept != known[0] {
 		t.Error("an owner that stays was made anew")
 	}
-	table.Set(vms("b", "c"), func(vm site.VM) bool { return vm.Name != "d" })
+	table.SetVMs(vms("b", "c"), func(vm site.VM) bool { return vm.Name != "d" })
 	for _, o := range known {
-		if lost := o.Lost().Err() != nil; lost != (o.Name == "d") {
+		if lost := o.Context().Err() != nil; lost != (o.Name == "d") {
 			t.Errorf("%s lost: %v", o.Name, lost)
 		}
 	}
@@ -136,8 +136,8 @@
 	for _, list := range [][]site.VM{vms("b", "c", "d"), vms("b", "c", "d", "e")} {
 		sides.Go(func() {
 			for key := range uint64(200) {
-				table.Set(list, responsive)
-				table.Of(key, time.Now())
+				table.SetVMs(list, responsive)
+				table.Lookup(key, time.Now())
 			}
 		})
 	}
@@ -157,7 +157,7 @@
 		list[i].LinkMbps = 10
 	}
 	list[0].LinkMbps, list[1].LinkMbps = 200, 200
-	table.Set(list, responsive)
+	table.SetVMs(list, responsive)
 	owned := make(map[string]int)
 	for key := range uint64(2000) {
 		owned[nameOf("a", table, key, now)]++
@@ -168,7 +168,7 @@
 			t.Errorf("%s owns %d of 2000 keys", name, n)
 		}
 	}
-	if n := table.Divided(); n < 2 || n > 2.5 {
+	if n := table.EffectiveVMs(); n < 2 || n > 2.5 {
 		t.Errorf("divided as among %.1f equal VMs", n)
 	}
 }
@@ -180,23 +180,23 @@
 	table := tableOf("a", "a", "b", "c", "d")
 	o := (*table.others.Load())[0]
 	key := uint64(0)
-	for table.Of(key, now) != o {
+	for table.Lookup(key, now) != o {
 		key++
 	}
 	for range 20 {
-		o.Took(2*time.Millisecond, now)
+		o.RecordOverhead(2*time.Millisecond, now)
 	}
-	o.Took(100*time.Millisecond, now)
-	if table.Of(key, now) != o {
+	o.RecordOverhead(100*time.Millisecond, now)
+	if table.Lookup(key, now) != o {
 		t.Error("avoided for one slow answer")
 	}
 	for range 5 {
-		o.Took(100*time.Millisecond, now)
+		o.RecordOverhead(100*time.Millisecond, now)
 	}
-	if table.Of(key, now) == o {
+	if table.Lookup(key, now) == o {
 		t.Error("still used")
 	}
-	if table.Of(key, now.Add(avoidFor)) != o {
+	if table.Lookup(key, now.Add(avoidFor)) != o {
 		t.Error("not used again")
 	}
 }
@@ -208,6 +208,6 @@
 	}
 	table, now := tableOf("vm-0", names...), time.Now()
 	for key := uint64(0); b.Loop(); key++ {
-		table.Of(key, now)
+		table.Lookup(key, now)
 	}
 }
--- a/edge/peers/peers.go
+++ b/edge/peers/peers.go
@@ -307,12 +307,12 @@
 	defer m.mu.Unlock()
 	var sameZone, sameRegion, any []string
 	consider := func(vm site.VM) {
-		any = append(any, vm.Entry)
+		any = append(any, vm.EntryAddress)
 		if vm.Region == region {
-			sameRegion = append(sameRegion, vm.Entry)
+			sameRegion = append(sameRegion, vm.EntryAddress)
 		}
 		if vm.Zone == zone {
-			sameZone = append(sameZone, vm.Entry)
+			sameZone = append(sameZone, vm.EntryAddress)
 		}
 	}
 	if own {
--- a/edge/peers/peers_test.go
+++ b/edge/peers/peers_test.go
@@ -14,7 +14,7 @@
 var start = time.Unix(1000, 0)
 
 func vmOf(name, zone string) site.VM {
-	return site.VM{Name: name, Region: zone[:1], Zone: zone, Entry: name + ":1", Peer: name + ":2", Incarnation: 1}
+	return site.VM{Name: name, Region: zone[:1], Zone: zone, EntryAddress: name + ":1", PeerAddress: name + ":2", Incarnation: 1}
 }
 
 func hear(b *Members, at time.Time, vms ...site.VM) {
--- a/edge/placing/balancer_test.go
+++ b/edge/placing/balancer_test.go
@@ -252,7 +252,7 @@
 		t.Fatal("the key is not known where it ran")
 	}
 	restarted := listing(before.Target.ID)
-	restarted.Born = 5
+	restarted.StartedMillis = 5
 	b.SetTargets(now, services(0), []Listing{restarted}, nil)
 	b.Done(now, again, class, Unreachable, 0)
 	after, w := b.Place(now, r)
--- a/edge/placing/listing.go
+++ b/edge/placing/listing.go
@@ -64,7 +64,7 @@
 
 func (b *Balancer) setTarget(now time.Time, s *service, l Listing, evacuated bool) {
 	t := s.targets[l.ID]
-	if t == nil || t.Address != l.Address || t.Zone != l.Zone || t.Born != l.Born {
+	if t == nil || t.Address != l.Address || t.Zone != l.Zone || t.StartedMillis != l.StartedMillis {
 		// A target that started again is warm for no key, and nothing that was learnt of
 		// the start before holds: requests still in flight there end at the old value.
 		if t != nil {
@@ -84,7 +84,7 @@
 	// them without the lock.
 	t.Slots = l.Slots
 	t.delay = b.options.Delay(t.Region)
-	if l.ColdFor > 0 && l.ColdUntil.Add(coldMargin).After(t.coldTill) {
+	if l.ColdRemaining > 0 && l.ColdUntil.Add(coldMargin).After(t.coldTill) {
 		t.coldTill = l.ColdUntil.Add(coldMargin)
 	}
 }
--- a/edge/placing/replay_test.go
+++ b/edge/placing/replay_test.go
@@ -120,7 +120,7 @@
 	}
 	w.targets["a-new"] = &simTarget{id: "a-new", region: "a", slots: 4, slow: 1, most: maxKnown}
 	cold := Listing{
-		Target:    site.Target{ID: "a-new", Service: serviceName, Zone: "a1", Slots: 4, ColdFor: 3 * time.Second},
+		Target:    site.Target{ID: "a-new", Service: serviceName, Zone: "a1", Slots: 4, ColdRemaining: 3 * time.Second},
 		ColdUntil: w.now.Add(3 * time.Second),
 	}
 	for _, b := range w.balancers {
--- a/edge/route/table.go
+++ b/edge/route/table.go
@@ -32,9 +32,9 @@
 func NewTable(c *site.Config, last *Table) *Table {
 	t := &Table{Version: c.Version, hosts: make(map[string][]*Entry)}
 	for _, r := range c.Routes {
-		e := &Entry{Route: r, classes: make(map[string]*placing.Class), credit: make([]float64, len(r.Parts))}
+		e := &Entry{Route: r, classes: make(map[string]*placing.Class), credit: make([]float64, len(r.Services))}
 		old := last.find(r.Host, r.Prefix)
-		for _, part := range r.Parts {
+		for _, part := range r.Services {
 			e.classes[part.Service] = old.class(part.Service)
 			if e.classes[part.Service] == nil {
 				e.classes[part.Service] = placing.NewClass(r.Objective)
@@ -81,16 +81,16 @@
 	return nil
 }
 
-// Next returns the service of the next request, by the parts' weights: each part
+// NextService returns the service of the next request, by the parts' weights: each part
 // gets its share of every few requests, not only on average.
-func (e *Entry) Next() (service string, class *placing.Class) {
-	if len(e.Parts) == 1 {
-		return e.Parts[0].Service, e.classes[e.Parts[0].Service]
+func (e *Entry) NextService() (service string, class *placing.Class) {
+	if len(e.Services) == 1 {
+		return e.Services[0].Service, e.classes[e.Services[0].Service]
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sum, best := 0.0, 0
-	for i, part := range e.Parts {
+	for i, part := range e.Services {
 		e.credit[i] += part.Weight
 		sum += part.Weight
 		if e.credit[i] > e.credit[best] {
@@ -98,5 +98,5 @@
 		}
 	}
 	e.credit[best] -= sum
-	return e.Parts[best].Service, e.classes[e.Parts[best].Service]
+	return e.Services[best].Service, e.classes[e.Services[best].Service]
 }
--- a/edge/route/table_test.go
+++ b/edge/route/table_test.go
@@ -14,7 +14,7 @@
 func routeTo(name, prefix string, services ...string) site.Route {
 	r := site.Route{Name: name, Host: "h", Prefix: prefix}
 	for i, s := range services {
-		r.Parts = append(r.Parts, site.Part{Service: s, Weight: float64(90 - 80*i)})
+		r.Services = append(r.Services, site.WeightedService{Service: s, Weight: float64(90 - 80*i)})
 	}
 	return r
 }
@@ -40,7 +40,7 @@
 	e := NewTable(config(1, routeTo("r", "/", "big", "small")), nil).Match("h", "/")
 	small := 0
 	for i := range 100 {
-		if s, _ := e.Next(); s == "small" {
+		if s, _ := e.NextService(); s == "small" {
 			small++
 		}
 		if want := (i + 1) / 10; small < want-1 || small > want+1 {
@@ -52,11 +52,11 @@
 // A change of the configuration must not make a VM forget how long requests take.
 func TestLearntWorkOutlivesAChange(t *testing.T) {
 	first := NewTable(config(1, routeTo("r", "/", "s")), nil)
-	_, before := first.Match("h", "/").Next()
+	_, before := first.Match("h", "/").NextService()
 	changed := routeTo("renamed", "/", "s", "new")
-	changed.Parts[1].Weight = 0
+	changed.Services[1].Weight = 0
 	second := NewTable(config(2, changed), first)
-	_, after := second.Match("h", "/").Next()
+	_, after := second.Match("h", "/").NextService()
 	if before != after {
 		t.Error("the estimates of the service began anew")
 	}
--- a/edge/site/site.go
+++ b/edge/site/site.go
@@ -38,8 +38,8 @@
 	Sticky bool
 	// Regions may run the requests; empty means all.
 	Regions []string
-	// Parts divide the requests between services; there is at least one.
-	Parts []Part
+	// Services divide the requests between services; there is at least one.
+	Services []WeightedService
 }
 
 // Allows reports whether the route's requests may run in a region.
@@ -55,8 +55,8 @@
 	return false
 }
 
-// Part is one service's weight in a route.
-type Part struct {
+// WeightedService is one service's weight in a route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -98,11 +98,11 @@
 	Slots   int
 	// Draining tells that the target takes no new work.
 	Draining bool
-	// ColdFor is how long the target is still cold.
-	ColdFor time.Duration
-	// Born is when this incarnation of the target started, in Unix milliseconds by the
+	// ColdRemaining is how long the target is still cold.
+	ColdRemaining time.Duration
+	// StartedMillis is when this incarnation of the target started, in Unix milliseconds by the
 	// target's clock; 0 if the target does not say. It tells the starts of one ID apart.
-	Born int64
+	StartedMillis int64
 }
 
 // VM is one entry VM as it registered itself.
@@ -110,9 +110,9 @@
 	Name   string `json:"name" msgpack:"n"`
 	Region string `json:"region" msgpack:"r"`
 	Zone   string `json:"zone" msgpack:"z"`
-	// Entry is where callers connect, Peer where other VMs do.
-	Entry string `json:"entry" msgpack:"e"`
-	Peer  string `json:"peer" msgpack:"p"`
+	// EntryAddress is where callers connect, PeerAddress where other VMs do.
+	EntryAddress string `json:"entry" msgpack:"e"`
+	PeerAddress  string `json:"peer" msgpack:"p"`
 	// Incarnation tells the starts of one VM apart.
 	Incarnation uint64 `json:"incarnation" msgpack:"i"`
 	// LinkMbps is its link in Mbit/s, 0 if it does not say.
