--- a/edge/placing/targetspec.go
+++ b/edge/placing/targetspec.go
@@ -64,7 +64,7 @@
 
 func (b *Balancer) setTarget(now time.Time, s *service, l TargetSpec, evacuated bool) {
 	t := s.targets[l.ID]
-	if t == nil || t.Address != l.Address || t.Zone != l.Zone || t.Born != l.Born {
+	if t == nil || t.Address != l.Address || t.Zone != l.Zone || t.StartedMillis != l.StartedMillis {
 		// A target that started again is warm for no key, and nothing that was learnt of
 		// the start before holds: requests still in flight there end at the old value.
 		if t != nil {
@@ -84,7 +84,7 @@
 	// them without the lock.
 	t.Slots = l.Slots
 	t.rtt = b.options.RTT(t.Region)
-	if l.ColdFor > 0 && l.ColdUntil.Add(coldMargin).After(t.coldUntil) {
+	if l.ColdRemaining > 0 && l.ColdUntil.Add(coldMargin).After(t.coldUntil) {
 		t.coldUntil = l.ColdUntil.Add(coldMargin)
 	}
 }
