--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -65,7 +65,7 @@
 	peer        *serve.Server
 	servers     []*serve.Server
 	leaving     atomic.Bool
-	digests     *peers.Digests
+	digests     *peers.DigestMonitor
 	regionState *regionState
 	stop        context.CancelFunc
 	// unlist ends the registration.
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Entry{options: o, log: o.Logger, stop: cancel}
 	now := time.Now()
-	e.digests = peers.NewDigests(now)
+	e.digests = peers.NewDigestMonitor(now)
 	e.regionState = &regionState{log: e.part("entry")}
 	e.delays = newDelays(o.VM.Region)
 	e.members = peers.New(o.VM, now)
@@ -99,9 +99,9 @@
 	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.part("catalog"), Changed: e.setView, Now: time.Now})
 	e.replica = replica.New(replica.Options{
 		KV: o.KV, Logger: e.part("replica"), Prefix: o.Names.WatchPrefix, Changed: e.apply, FetchFrom: fetchSnapshot,
-		Watches: func() bool { return e.members.Watches(time.Now()) },
-		Leads:   func() bool { return e.members.WatchesAlone(time.Now()) },
-		First:   func() bool { return e.members.WatchesFirst(time.Now()) },
+		Watches: func() bool { return e.members.ShouldWatch(time.Now()) },
+		Leads:   func() bool { return e.members.IsWatchLeader(time.Now()) },
+		First:   func() bool { return e.members.IsDefaultWatcher(time.Now()) },
 	})
 	e.snapshots = &snapshots{replica: e.replica, log: e.part("replica")}
 	if err := e.listen(ctx); err != nil {
@@ -124,14 +124,14 @@
 // changed tells the other VMs soon.
 func (e *Entry) changed() {
 	if e.talk != nil {
-		e.talk.Changed()
+		e.talk.RequestReport()
 	}
 }
 
 // urgent tells the VMs of all regions soon.
 func (e *Entry) urgent() {
 	if e.talk != nil {
-		e.talk.Urgent()
+		e.talk.RequestUrgentReport()
 	}
 }
 
@@ -244,10 +244,10 @@
 
 // tellVMs tells the board among which VMs work is divided.
 func (e *Entry) tellVMs(now time.Time) {
-	names := e.members.Sharers(now)
+	names := e.members.WorkSharers(now)
 	e.regionState.setSharers(names)
 	e.balancer.SetVMs(names)
-	if live, known := e.members.DomainLive(now); known && !e.leaving.Load() {
+	if live, known := e.members.LiveInDomain(now); known && !e.leaving.Load() {
 		e.owners.Set(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
 	}
 	e.balancer.SetKeyDivision(e.owners.Divided())
@@ -278,7 +278,7 @@
 		last = now
 		e.catalog.Expire(now)
 		e.tellVMs(now)
-		e.quarantine.Tick(ctx, now, e.members.WatchesAlone(now))
+		e.quarantine.Tick(ctx, now, e.members.IsWatchLeader(now))
 		e.counts.setQuarantine(e.quarantine.Counts())
 		e.gateway.Probe(ctx, e.healthPath)
 	}
--- a/edge/entry/handlers.go
+++ b/edge/entry/handlers.go
@@ -62,7 +62,7 @@
 		return serve.Plain(http.StatusNotFound, "")
 	}
 	zone, region := e.options.Names.Caller(r.Query)
-	entries := e.members.Entries(zone, region, e.serving(), time.Now())
+	entries := e.members.EntryAddresses(zone, region, e.serving(), time.Now())
 	if len(entries) == 0 {
 		return serve.Plain(http.StatusServiceUnavailable, "no entry VM\n")
 	}
--- a/edge/entry/talk.go
+++ b/edge/entry/talk.go
@@ -25,18 +25,18 @@
 // recipients returns who gets what.
 func (e *Entry) recipients() exchange.Recipients {
 	now := time.Now()
-	g := e.members.Group(now)
+	g := e.members.Topology(now)
 	own := e.options.VM.Name
-	to := exchange.Recipients{Large: g.Large, SameRegion: peersOf(g.Listeners, own)}
-	listens := len(to.SameRegion) < len(g.Listeners)
-	e.digests.Await(now, g.Large && !listens)
+	to := exchange.Recipients{Large: g.Large, SameRegion: peersOf(g.Aggregators, own)}
+	listens := len(to.SameRegion) < len(g.Aggregators)
+	e.digests.SetExpected(now, g.Large && !listens)
 	e.regionState.setRole(role{
-		listens: g.Large && listens, sends: g.Large && g.Listeners[0].Name == own, missing: e.digests.Missing(now),
+		listens: g.Large && listens, sends: g.Large && g.Aggregators[0].Name == own, missing: e.digests.Missing(now),
 	})
 	if listens {
-		to.OtherRegions = peersOf(g.Far, own)
+		to.OtherRegions = peersOf(g.RemoteAggregators, own)
 	}
-	if g.Large && listens && g.Listeners[0].Name == own {
+	if g.Large && listens && g.Aggregators[0].Name == own {
 		to.Digests = peersOf(append(g.SameDomain, g.Unreached...), own)
 		to.Relays = peersOf(g.Relays, own)
 	}
@@ -47,7 +47,7 @@
 func (e *Entry) relayTo() ([]exchange.Peer, exchange.Relay) {
 	at, _ := e.replica.At()
 	via := exchange.Relay{Peer: e.options.VM.Peer, Revision: uint64(at)}
-	return peersOf(e.members.Group(time.Now()).SameDomain, e.options.VM.Name), via
+	return peersOf(e.members.Topology(time.Now()).SameDomain, e.options.VM.Name), via
 }
 
 func peersOf(vms []site.VM, but string) []exchange.Peer {
@@ -65,7 +65,7 @@
 	now := time.Now()
 	at, _ := e.replica.At()
 	s := exchange.State{
-		VM: e.options.VM, Leaving: e.leaving.Load(), Serving: e.gateway.Ready(), Linked: e.replica.Linked(),
+		VM: e.options.VM, Leaving: e.leaving.Load(), Serving: e.gateway.Ready(), StoreConnected: e.replica.Linked(),
 		Revision: uint64(at), NoDigest: e.digests.Missing(now),
 		// A sum goes to other regions, which have what came from them.
 		Events: e.quarantine.Recent(now, !sum),
@@ -88,10 +88,10 @@
 		return d
 	}
 	inFlight, far := e.balancer.OtherRegionSums(now)
-	d.Full = &exchange.Full{InFlight: inFlight, Demand: far}
-	for name, state := range e.members.Seen() {
-		d.Full.Seen = append(d.Full.Seen, exchange.Seen{
-			Name: name, Age: now.Sub(state.At), Leaving: state.Leaving, Serving: state.Serving, Linked: state.Linked,
+	d.Details = &exchange.DigestDetails{InFlight: inFlight, Demand: far}
+	for name, state := range e.members.RegionStates() {
+		d.Details.VMs = append(d.Details.VMs, exchange.VMStatus{
+			Name: name, Age: now.Sub(state.At), Leaving: state.Leaving, Serving: state.Serving, StoreConnected: state.StoreConnected,
 		})
 	}
 	return d
@@ -101,7 +101,7 @@
 func (e *Entry) received(ctx context.Context) func(exchange.State) {
 	return func(s exchange.State) {
 		now := time.Now()
-		if e.members.Observe(s.VM, peers.State{At: now, Serving: s.Serving, Leaving: s.Leaving, Linked: s.Linked, NoDigest: s.NoDigest}) {
+		if e.members.Observe(s.VM, peers.State{At: now, Serving: s.Serving, Leaving: s.Leaving, StoreConnected: s.StoreConnected, NoDigest: s.NoDigest}) {
 			e.delays.measure(s.VM.Region, s.VM.Peer)
 		}
 		e.takeCounts(now, s)
@@ -149,13 +149,13 @@
 func (e *Entry) takeDigest(now time.Time, d *exchange.Digest) {
 	e.digests.Received(now)
 	e.balancer.SetRegionSums(now, regionSums, d.InFlight, d.Demand)
-	if d.Full == nil {
+	if d.Details == nil {
 		return
 	}
-	e.balancer.SetPeer(now, otherRegionSums, &placing.Peer{InFlight: d.Full.InFlight, Demand: d.Full.Demand, Sum: true, At: now})
-	for _, seen := range d.Full.Seen {
-		e.members.ObserveFrom(seen.Name, peers.State{
-			At: now.Add(-seen.Age), Serving: seen.Serving, Leaving: seen.Leaving, Linked: seen.Linked,
+	e.balancer.SetPeer(now, otherRegionSums, &placing.Peer{InFlight: d.Details.InFlight, Demand: d.Details.Demand, Sum: true, At: now})
+	for _, seen := range d.Details.VMs {
+		e.members.ObserveIndirect(seen.Name, peers.State{
+			At: now.Add(-seen.Age), Serving: seen.Serving, Leaving: seen.Leaving, StoreConnected: seen.StoreConnected,
 		})
 	}
 }
--- a/edge/exchange/exchange.go
+++ b/edge/exchange/exchange.go
@@ -115,18 +115,18 @@
 	return e, nil
 }
 
-// Changed asks for a datagram soon. It never blocks.
-func (e *Exchange) Changed() {
+// RequestReport asks for a datagram soon. It never blocks.
+func (e *Exchange) RequestReport() {
 	select {
 	case e.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Urgent is Changed for news that other regions should have as soon as the own one.
-func (e *Exchange) Urgent() {
+// RequestUrgentReport is Changed for news that other regions should have as soon as the own one.
+func (e *Exchange) RequestUrgentReport() {
 	e.urgent.Store(true)
-	e.Changed()
+	e.RequestReport()
 }
 
 // Flush sends reports to all now.
@@ -207,7 +207,7 @@
 func (e *Exchange) encode(state *State) []byte {
 	e.mu.Lock()
 	e.sent++
-	state.Number = e.sent
+	state.Sequence = e.sent
 	e.mu.Unlock()
 	body, err := msgpack.Marshal(state)
 	if err != nil || len(body) >= maxDatagram-maxTail {
--- a/edge/exchange/exchange_test.go
+++ b/edge/exchange/exchange_test.go
@@ -49,7 +49,7 @@
 		Digest: func(full bool) *Digest {
 			d := &Digest{InFlight: Counts{8: 2}}
 			if full {
-				d.Full = &Full{Seen: []Seen{{Name: "b", Age: time.Second}}}
+				d.Details = &DigestDetails{VMs: []VMStatus{{Name: "b", Age: time.Second}}}
 			}
 			return d
 		},
@@ -96,7 +96,7 @@
 func TestOlderDatagramsAreDropped(t *testing.T) {
 	o, now := make(order), time.Now()
 	state := func(incarnation, number uint64) State {
-		return State{VM: site.VM{Name: "a", Incarnation: incarnation}, Number: number}
+		return State{VM: site.VM{Name: "a", Incarnation: incarnation}, Sequence: number}
 	}
 	for i, c := range []struct {
 		s    State
@@ -136,7 +136,7 @@
 	<-b.news
 	began := time.Now()
 	for range 10000 {
-		a.Changed()
+		a.RequestReport()
 	}
 	a.Exchange.mu.Lock()
 	defer a.Exchange.mu.Unlock()
@@ -158,7 +158,7 @@
 		if d == nil || d.InFlight[8] != 2 {
 			t.Fatalf("%+v", b.received["a"])
 		}
-		seen = seen || d.Full != nil && len(d.Full.Seen) == 1 && d.Full.Seen[0].Name == "b"
+		seen = seen || d.Details != nil && len(d.Details.VMs) == 1 && d.Details.VMs[0].Name == "b"
 		b.mu.Unlock()
 	}
 	if !seen {
--- a/edge/exchange/order.go
+++ b/edge/exchange/order.go
@@ -31,9 +31,9 @@
 		if now.Sub(last.at) < staleAfter {
 			return false
 		}
-	case s.Number <= last.number:
+	case s.Sequence <= last.number:
 		return false
 	}
-	o[s.VM.Name] = position{incarnation, s.Number, now}
+	o[s.VM.Name] = position{incarnation, s.Sequence, now}
 	return true
 }
--- a/edge/exchange/order_test.go
+++ b/edge/exchange/order_test.go
@@ -15,7 +15,7 @@
 	o := make(order)
 	began := time.Now()
 	state := func(incarnation, number uint64) State {
-		return State{VM: site.VM{Name: "a", Incarnation: incarnation}, Number: number}
+		return State{VM: site.VM{Name: "a", Incarnation: incarnation}, Sequence: number}
 	}
 	steps := []struct {
 		what  string
--- a/edge/exchange/state.go
+++ b/edge/exchange/state.go
@@ -16,13 +16,13 @@
 type State struct {
 	// VM is how the VM registered itself: the store may have lost that.
 	VM site.VM `msgpack:"v"`
-	// Number orders the datagrams of one incarnation.
-	Number uint64 `msgpack:"n"`
+	// Sequence orders the datagrams of one incarnation.
+	Sequence uint64 `msgpack:"n"`
 	// Leaving tells that the VM takes no new callers, Serving that it can.
 	Leaving bool `msgpack:"l"`
 	Serving bool `msgpack:"s"`
-	// Linked tells that the VM watches the store and is answered.
-	Linked bool `msgpack:"k"`
+	// StoreConnected tells that the VM watches the store and is answered.
+	StoreConnected bool `msgpack:"k"`
 	// Revision is that of its copy of the store.
 	Revision uint64 `msgpack:"x"`
 	// Sum tells that InFlight and Demand are those of the whole region.
@@ -52,28 +52,28 @@
 type Digest struct {
 	InFlight Counts             `msgpack:"h"`
 	Demand   map[string]float64 `msgpack:"d"`
-	// Full is set in some digests only.
-	Full *Full `msgpack:"r,omitempty"`
+	// Details is set in some digests only.
+	Details *DigestDetails `msgpack:"r,omitempty"`
 }
 
-// Full is the part of a digest that is needed less often.
-type Full struct {
+// DigestDetails is the part of a digest that is needed less often.
+type DigestDetails struct {
 	// InFlight are the requests of other regions, Demand is by region and service.
 	InFlight Counts                        `msgpack:"h"`
 	Demand   map[string]map[string]float64 `msgpack:"d"`
-	// Seen are the VMs of the own region.
-	Seen []Seen `msgpack:"s"`
+	// VMs are the VMs of the own region.
+	VMs []VMStatus `msgpack:"s"`
 }
 
-// Seen is what a listener knows of one VM.
-type Seen struct {
+// VMStatus is what a listener knows of one VM.
+type VMStatus struct {
 	//lint:ignore U1000 the msgpack library reads its tag: an array, without field names
-	_msgpack struct{} `msgpack:",as_array"`
-	Name     string
-	Age      time.Duration
-	Leaving  bool
-	Serving  bool
-	Linked   bool
+	_msgpack       struct{} `msgpack:",as_array"`
+	Name           string
+	Age            time.Duration
+	Leaving        bool
+	Serving        bool
+	StoreConnected bool
 }
 
 // decode reads a state and, after it, by whom it was passed on.
--- a/edge/peers/digests.go
+++ b/edge/peers/digests.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Digests tells whether a VM that gets the others' reports by digests gets them. It is safe for
+// DigestMonitor tells whether a VM that gets the others' reports by digests gets them. It is safe for
 // use by several goroutines.
-type Digests struct {
+type DigestMonitor struct {
 	mu sync.Mutex
 	// expected is false while this VM gets the others' reports itself.
 	expected bool
@@ -15,11 +15,11 @@
 	at time.Time
 }
 
-// NewDigests begins to wait now.
-func NewDigests(now time.Time) *Digests { return &Digests{at: now} }
+// NewDigestMonitor begins to wait now.
+func NewDigestMonitor(now time.Time) *DigestMonitor { return &DigestMonitor{at: now} }
 
-// Await tells whether this VM should get digests.
-func (d *Digests) Await(now time.Time, expected bool) {
+// SetExpected tells whether this VM should get digests.
+func (d *DigestMonitor) SetExpected(now time.Time, expected bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if expected && !d.expected {
@@ -29,7 +29,7 @@
 }
 
 // Received notes a digest.
-func (d *Digests) Received(now time.Time) {
+func (d *DigestMonitor) Received(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.at = now
@@ -37,7 +37,7 @@
 
 // Missing reports whether digests should come and none did: the relay of the own failure
 // domain is there for the listener, but not for this VM.
-func (d *Digests) Missing(now time.Time) bool {
+func (d *DigestMonitor) Missing(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.expected && now.Sub(d.at) > missingAfter
--- a/edge/peers/group.go
+++ b/edge/peers/group.go
@@ -21,12 +21,12 @@
 	directFor = 5 * time.Second
 )
 
-// Group is how the VMs of the own region share their reports.
-type Group struct {
+// Topology is how the VMs of the own region share their reports.
+type Topology struct {
 	// Large tells that only the listeners get all reports.
 	Large bool
-	// Listeners of the own region, the first one first; this VM may be one.
-	Listeners []site.VM
+	// Aggregators of the own region, the first one first; this VM may be one.
+	Aggregators []site.VM
 	// SameDomain are the VMs of the own failure domain that are no listeners, without
 	// this VM.
 	SameDomain []site.VM
@@ -35,32 +35,32 @@
 	Relays []site.VM
 	// Unreached are VMs of other failure domains that no digest reached lately.
 	Unreached []site.VM
-	// Far are the listeners of the other regions.
-	Far []site.VM
+	// RemoteAggregators are the listeners of the other regions.
+	RemoteAggregators []site.VM
 }
 
-// Group returns the group at a time. All VMs that have the same reports find the same one.
-func (m *Members) Group(now time.Time) Group {
+// Topology returns the group at a time. All VMs that have the same reports find the same one.
+func (m *Members) Topology(now time.Time) Topology {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var g Group
+	var g Topology
 	for region, vms := range m.regions {
 		if region != m.own.Region {
-			g.Far = append(g.Far, first(vms, func(site.VM) bool { return true })...)
+			g.RemoteAggregators = append(g.RemoteAggregators, first(vms, func(site.VM) bool { return true })...)
 			continue
 		}
 		g.Large = len(vms) > smallRegion
-		g.Listeners = first(vms, func(vm site.VM) bool { return vm.Name == m.own.Name || m.mayListen(vm, now) })
+		g.Aggregators = first(vms, func(vm site.VM) bool { return vm.Name == m.own.Name || m.mayListen(vm, now) })
 		m.divide(&g, vms, now)
 	}
 	return g
 }
 
 // divide finds by whom the VMs of the own region get a digest.
-func (m *Members) divide(g *Group, vms []site.VM, now time.Time) {
+func (m *Members) divide(g *Topology, vms []site.VM, now time.Time) {
 	served := map[string]bool{m.own.Zone: true}
 	for _, vm := range vms {
-		if vm.Name == m.own.Name || slices.ContainsFunc(g.Listeners, func(l site.VM) bool { return l.Name == vm.Name }) {
+		if vm.Name == m.own.Name || slices.ContainsFunc(g.Aggregators, func(l site.VM) bool { return l.Name == vm.Name }) {
 			continue
 		}
 		at, without := m.withoutAt[vm.Name]
--- a/edge/peers/group_bench_test.go
+++ b/edge/peers/group_bench_test.go
@@ -11,6 +11,6 @@
 	hear(book, start, vms...)
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Group(start)
+		book.Topology(start)
 	}
 }
--- a/edge/peers/peers.go
+++ b/edge/peers/peers.go
@@ -25,8 +25,8 @@
 	At      time.Time
 	Serving bool
 	Leaving bool
-	// Linked tells that it watches the store and is answered.
-	Linked bool
+	// StoreConnected tells that it watches the store and is answered.
+	StoreConnected bool
 	// NoDigest tells that no digest reaches it.
 	NoDigest bool
 }
@@ -145,7 +145,7 @@
 // shorter by more than their age than a VM may be silent.
 const isolatedAfter = 700 * time.Millisecond
 
-// DomainLive returns the other VMs of the own failure domain that report that they take
+// LiveInDomain returns the other VMs of the own failure domain that report that they take
 // callers, by name. It returns false if that is not known, as no report comes at all.
 //
 // Guard against a VM that gets no reports, as it stops or is cut off from datagrams: all
@@ -153,7 +153,7 @@
 // requests that they work on. It shows as requests of a VM's callers that are lost 1.5 s
 // after its planned stop began. The guard holds because all reports end at once, long
 // before the first VM is taken to be unresponsive.
-func (m *Members) DomainLive(now time.Time) ([]site.VM, bool) {
+func (m *Members) LiveInDomain(now time.Time) ([]site.VM, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var live []site.VM
@@ -180,8 +180,8 @@
 	return m.isResponsive(vm, now)
 }
 
-// ObserveFrom takes in what a listener knows of a VM that may not report to this one.
-func (m *Members) ObserveFrom(name string, s State) {
+// ObserveIndirect takes in what a listener knows of a VM that may not report to this one.
+func (m *Members) ObserveIndirect(name string, s State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if last, ok := m.states[name]; name != m.own.Name && (!ok || s.At.After(last.At)) {
@@ -189,8 +189,8 @@
 	}
 }
 
-// Seen returns the last reports of the VMs of the own region that are registered.
-func (m *Members) Seen() map[string]State {
+// RegionStates returns the last reports of the VMs of the own region that are registered.
+func (m *Members) RegionStates() map[string]State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen := make(map[string]State)
@@ -222,7 +222,7 @@
 	return names
 }
 
-// Sharers returns the names of the VMs of the own region among which work is divided,
+// WorkSharers returns the names of the VMs of the own region among which work is divided,
 // this one included: the responsive ones, or all that are listed while less than half of
 // them is responsive.
 //
@@ -230,7 +230,7 @@
 // one, and all would send to the same cold target. It shows as a target that gets a request
 // from every such VM within a moment. The guard holds because at most two parts of a region
 // have reports of half of it each, so there are at most two views besides the list's.
-func (m *Members) Sharers(now time.Time) []string {
+func (m *Members) WorkSharers(now time.Time) []string {
 	near := m.Responsive(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -253,21 +253,21 @@
 	maxWatches  = 2
 )
 
-// Watches reports whether this VM watches the store: the first ones of each region
+// ShouldWatch reports whether this VM watches the store: the first ones of each region
 // do, of those that are answered. One that is unresponsive, or not answered, is
 // replaced by the next as soon as it is noticed.
-func (m *Members) Watches(now time.Time) bool {
+func (m *Members) ShouldWatch(now time.Time) bool {
 	return m.isAmongFirst(now, maxWatches, isLinked)
 }
 
-func isLinked(s State) bool { return s.Linked && !s.Leaving }
+func isLinked(s State) bool { return s.StoreConnected && !s.Leaving }
 
-// WatchesAlone reports whether this VM is the first of those that watch the store.
-func (m *Members) WatchesAlone(now time.Time) bool { return m.isAmongFirst(now, 1, isLinked) }
+// IsWatchLeader reports whether this VM is the first of those that watch the store.
+func (m *Members) IsWatchLeader(now time.Time) bool { return m.isAmongFirst(now, 1, isLinked) }
 
-// WatchesFirst reports whether this VM is one of those that watch while the store
+// IsDefaultWatcher reports whether this VM is one of those that watch while the store
 // answers all.
-func (m *Members) WatchesFirst(now time.Time) bool {
+func (m *Members) IsDefaultWatcher(now time.Time) bool {
 	return m.isAmongFirst(now, maxWatches, func(s State) bool { return !s.Leaving })
 }
 
@@ -299,10 +299,10 @@
 	return max(1, n)
 }
 
-// Entries returns where callers of a failure domain connect: the live VMs of their
+// EntryAddresses returns where callers of a failure domain connect: the live VMs of their
 // domain, else of their region, else all live ones. own tells whether this VM
 // takes callers. The result is empty if no VM does.
-func (m *Members) Entries(zone, region string, own bool, now time.Time) []string {
+func (m *Members) EntryAddresses(zone, region string, own bool, now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var sameZone, sameRegion, any []string
--- a/edge/peers/peers_test.go
+++ b/edge/peers/peers_test.go
@@ -32,7 +32,7 @@
 	hear(b, start, mate, other, far)
 	check := func(what, zone, region string, serving bool, now time.Time, want ...string) {
 		t.Helper()
-		if diff := cmp.Diff(want, b.Entries(zone, region, serving, now)); diff != "" {
+		if diff := cmp.Diff(want, b.EntryAddresses(zone, region, serving, now)); diff != "" {
 			t.Errorf("%s: %s", what, diff)
 		}
 	}
@@ -55,7 +55,7 @@
 	b := New(own, start)
 	hear(b, start, mate)
 	b.Register(nil, start.Add(time.Second))
-	if got := b.Entries("n2", "n", true, start.Add(time.Second)); len(got) != 1 || got[0] != "mate:1" {
+	if got := b.EntryAddresses("n2", "n", true, start.Add(time.Second)); len(got) != 1 || got[0] != "mate:1" {
 		t.Errorf("entries %v", got)
 	}
 	b.Register(nil, start.Add(time.Hour))
@@ -70,19 +70,19 @@
 	a, b, c := vmOf("a", "n1"), vmOf("b", "n1"), vmOf("c", "n2")
 	book := New(b, start)
 	book.Register([]site.VM{a, b, c}, start)
-	if !book.Watches(start) {
+	if !book.ShouldWatch(start) {
 		t.Error("nobody is heard to watch, and this VM does not")
 	}
-	book.Observe(a, State{At: start, Serving: true, Linked: true})
-	book.Observe(c, State{At: start, Serving: true, Linked: true})
-	if book.Watches(start) {
+	book.Observe(a, State{At: start, Serving: true, StoreConnected: true})
+	book.Observe(c, State{At: start, Serving: true, StoreConnected: true})
+	if book.ShouldWatch(start) {
 		t.Error("watches beside the first one")
 	}
-	if !book.Watches(start.Add(suspicionTimeout)) {
+	if !book.ShouldWatch(start.Add(suspicionTimeout)) {
 		t.Error("does not watch though the first one is silent")
 	}
-	book.Observe(a, State{At: start, Serving: true, Linked: false})
-	if !book.Watches(start) {
+	book.Observe(a, State{At: start, Serving: true, StoreConnected: false})
+	if !book.ShouldWatch(start) {
 		t.Error("does not watch though the first one has lost the store")
 	}
 }
@@ -100,9 +100,9 @@
 				book := New(vms[i], start)
 				book.Register(vms, start)
 				for j, vm := range vms {
-					book.Observe(vm, State{At: start, Serving: true, Linked: linked[j] && j != i})
+					book.Observe(vm, State{At: start, Serving: true, StoreConnected: linked[j] && j != i})
 				}
-				linked[i] = book.Watches(start)
+				linked[i] = book.ShouldWatch(start)
 			}
 		}
 		n := 0
@@ -118,9 +118,9 @@
 }
 
 // groupsOf returns what each of the VMs finds, when those in dead are silent.
-func groupsOf(vms []site.VM, dead map[string]bool) map[string]Group {
+func groupsOf(vms []site.VM, dead map[string]bool) map[string]Topology {
 	now := start.Add(time.Minute)
-	groups := make(map[string]Group)
+	groups := make(map[string]Topology)
 	for _, vm := range vms {
 		b := New(vm, start)
 		b.Register(vms, now)
@@ -129,7 +129,7 @@
 				hear(b, now, other)
 			}
 		}
-		groups[vm.Name] = b.Group(now)
+		groups[vm.Name] = b.Topology(now)
 	}
 	return groups
 }
@@ -154,10 +154,10 @@
 			if size > smallRegion {
 				want = listeners
 			}
-			if len(g.Listeners) != want || len(g.Far) != want || g.Large != (size > smallRegion) {
-				t.Fatalf("%d VMs: %s finds %d listeners, %d far ones", size, vm.Name, len(g.Listeners), len(g.Far))
+			if len(g.Aggregators) != want || len(g.RemoteAggregators) != want || g.Large != (size > smallRegion) {
+				t.Fatalf("%d VMs: %s finds %d listeners, %d far ones", size, vm.Name, len(g.Aggregators), len(g.RemoteAggregators))
 			}
-			if diff := cmp.Diff(groups[vm.Region+"-000"].Listeners, g.Listeners); diff != "" {
+			if diff := cmp.Diff(groups[vm.Region+"-000"].Aggregators, g.Aggregators); diff != "" {
 				t.Fatalf("%d VMs: %s finds others: %s", size, vm.Name, diff)
 			}
 		}
@@ -175,8 +175,8 @@
 		if name == "n-000" {
 			continue
 		}
-		if len(g.Listeners) != listeners || g.Listeners[0].Name != "n-001" || g.Listeners[1].Name != "n-002" {
-			t.Fatalf("%s finds %v", name, g.Listeners)
+		if len(g.Aggregators) != listeners || g.Aggregators[0].Name != "n-001" || g.Aggregators[1].Name != "n-002" {
+			t.Fatalf("%s finds %v", name, g.Aggregators)
 		}
 	}
 }
@@ -188,12 +188,12 @@
 	b := New(vms[5], start)
 	now := start.Add(time.Minute)
 	b.Register(vms, now)
-	b.ObserveFrom("n-020", State{At: now, Serving: true})
-	b.ObserveFrom("n-020", State{At: now.Add(-time.Second), Serving: true, Leaving: true})
+	b.ObserveIndirect("n-020", State{At: now, Serving: true})
+	b.ObserveIndirect("n-020", State{At: now.Add(-time.Second), Serving: true, Leaving: true})
 	if got := b.Responsive(now); len(got) != 2 {
 		t.Errorf("near %v", got)
 	}
-	if got := b.Entries("n1", "n", false, now); len(got) != 1 || got[0] != "n-020:1" {
+	if got := b.EntryAddresses("n1", "n", false, now); len(got) != 1 || got[0] != "n-020:1" {
 		t.Errorf("entries %v", got)
 	}
 }
@@ -211,7 +211,7 @@
 		listener := ""
 		for _, vm := range vms {
 			if !dead[vm.Name] {
-				listener = groups[vm.Name].Listeners[0].Name
+				listener = groups[vm.Name].Aggregators[0].Name
 				break
 			}
 		}
@@ -229,7 +229,7 @@
 			}
 		}
 		for _, vm := range vms {
-			isListener := slices.ContainsFunc(groups[listener].Listeners, func(l site.VM) bool { return l.Name == vm.Name })
+			isListener := slices.ContainsFunc(groups[listener].Aggregators, func(l site.VM) bool { return l.Name == vm.Name })
 			if !isListener && !dead[vm.Name] && got[vm.Name] != 1 {
 				t.Errorf("dead %v: %s gets %d digests", dead, vm.Name, got[vm.Name])
 			}
@@ -247,15 +247,15 @@
 	b := New(vms[0], start)
 	b.Register(vms, start)
 	hear(b, start, vms[1:]...)
-	if got := b.Group(start).Unreached; len(got) != 0 {
+	if got := b.Topology(start).Unreached; len(got) != 0 {
 		t.Errorf("unreached at first: %v", got)
 	}
 	b.Observe(vms[5], State{At: start, Serving: true, NoDigest: true})
 	b.Observe(vms[5], State{At: start.Add(time.Second), Serving: true})
-	if got := b.Group(start.Add(time.Second)).Unreached; len(got) != 1 || got[0].Name != "vm-005" {
+	if got := b.Topology(start.Add(time.Second)).Unreached; len(got) != 1 || got[0].Name != "vm-005" {
 		t.Errorf("unreached %v", got)
 	}
-	if got := b.Group(start.Add(directFor)).Unreached; len(got) != 0 {
+	if got := b.Topology(start.Add(directFor)).Unreached; len(got) != 0 {
 		t.Errorf("still unreached: %v", got)
 	}
 }
@@ -290,19 +290,19 @@
 	b.Register(vms, start)
 	hear(b, start, vms...)
 	cut := start.Add(time.Minute)
-	if got := b.Sharers(cut); len(got) != len(vms) {
+	if got := b.WorkSharers(cut); len(got) != len(vms) {
 		t.Errorf("%d VMs near without any that is heard, want all %d", len(got), len(vms))
 	}
 	hear(b, cut, vms[6:18]...)
-	if got := b.Sharers(cut); len(got) != len(vms) {
+	if got := b.WorkSharers(cut); len(got) != len(vms) {
 		t.Errorf("%d VMs near in the smaller part of a region, want all %d", len(got), len(vms))
 	}
 	hear(b, cut, vms[18])
-	if got := b.Sharers(cut); len(got) != 14 {
+	if got := b.WorkSharers(cut); len(got) != 14 {
 		t.Errorf("%d VMs near in the larger part, want the 14 of it", len(got))
 	}
 	b.Register(vms[5:8], cut.Add(time.Minute))
-	if got := b.Sharers(cut.Add(time.Minute)); len(got) != 3 {
+	if got := b.WorkSharers(cut.Add(time.Minute)); len(got) != 3 {
 		t.Errorf("%d VMs near, want the 3 that the store still lists", len(got))
 	}
 }
@@ -322,7 +322,7 @@
 	}
 	last := now
 	for ; now.Sub(last) < 2*suspicionTimeout; now = now.Add(100 * time.Millisecond) {
-		live, known := m.DomainLive(now)
+		live, known := m.LiveInDomain(now)
 		if known && len(live) != 1 {
 			t.Fatalf("%v after the last report the VM takes its mate to be gone", now.Sub(last))
 		}
@@ -331,7 +331,7 @@
 		now = now.Add(100 * time.Millisecond)
 		hear(m, now, other)
 	}
-	if live, known := m.DomainLive(now); !known || len(live) != 0 {
+	if live, known := m.LiveInDomain(now); !known || len(live) != 0 {
 		t.Errorf("live %v, known %v while only the mate is silent", live, known)
 	}
 }
