--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -89,7 +89,7 @@
 		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, Delay: e.delays.get,
 	})
 	e.quarantine = quarantine.New(quarantine.Options{
-		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.part("quarantine"), Told: e.urgent,
+		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.part("quarantine"), EventAdded: e.urgent,
 	})
 	e.gateway = gateway.New(gateway.Options{
 		Fields: o.Names.Fields, Balancer: e.balancer, Logger: e.part("gateway"), Metrics: e.counts,
--- a/edge/entry/entry_test.go
+++ b/edge/entry/entry_test.go
@@ -45,9 +45,11 @@
 }
 func (codec) IsVM(key string) bool { return strings.HasPrefix(key, "vm/") }
 
-// QuarantineKey and Quarantined implement quarantine.Keys.
+// QuarantineKey and ParseQuarantineKey implement quarantine.Keys.
 func (codec) QuarantineKey(fingerprint string) string { return "quarantine/" + fingerprint }
-func (codec) Quarantined(key string) (string, bool)   { return strings.CutPrefix(key, "quarantine/") }
+func (codec) ParseQuarantineKey(key string) (string, bool) {
+	return strings.CutPrefix(key, "quarantine/")
+}
 
 // fleet is entry VMs before one store and one target.
 type fleet struct {
--- a/edge/entry/talk.go
+++ b/edge/entry/talk.go
@@ -68,7 +68,7 @@
 		VM: e.options.VM, Leaving: e.leaving.Load(), Serving: e.gateway.Ready(), StoreConnected: e.replica.Linked(),
 		Revision: uint64(at), NoDigest: e.digests.Missing(now),
 		// A sum goes to other regions, which have what came from them.
-		Events: e.quarantine.Recent(now, !sum),
+		Events: e.quarantine.PendingEvents(now, !sum),
 	}
 	if !sum {
 		s.InFlight, s.Demand = e.balancer.Report(now)
--- a/edge/gateway/ended.go
+++ b/edge/gateway/ended.go
@@ -98,7 +98,7 @@
 	now := time.Now()
 	for _, l := range lost {
 		// 0 names no target.
-		g.options.Quarantine.Ended(now, l.fingerprint, placing.HashOf(key)|1)
+		g.options.Quarantine.TargetCrashed(now, l.fingerprint, placing.HashOf(key)|1)
 	}
 }
 
--- a/edge/gateway/quarantine.go
+++ b/edge/gateway/quarantine.go
@@ -23,7 +23,7 @@
 func (g *Gateway) admit(ctx context.Context, j *job) (outcome, bool) {
 	v := g.verdict(j)
 	switch {
-	case v.Status == quarantine.TrialDue && g.options.Quarantine.Claim(ctx, time.Now(), g.fingerprint(j)):
+	case v.Status == quarantine.TrialDue && g.options.Quarantine.ClaimTrial(ctx, time.Now(), g.fingerprint(j)):
 		j.onTrial = true
 		return outcome{}, true
 	case isKept(v):
--- a/edge/gateway/quarantine_test.go
+++ b/edge/gateway/quarantine_test.go
@@ -20,15 +20,15 @@
 
 type quarantineKeys struct{}
 
-func (quarantineKeys) QuarantineKey(fingerprint string) string { return fingerprint }
-func (quarantineKeys) Quarantined(key string) (string, bool)   { return key, true }
+func (quarantineKeys) QuarantineKey(fingerprint string) string      { return fingerprint }
+func (quarantineKeys) ParseQuarantineKey(key string) (string, bool) { return key, true }
 
 // withQuarantine gives a gateway a quarantine of its own.
 func (f *fixture) withQuarantine() *quarantine.Quarantine {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.options.Quarantine = quarantine.New(quarantine.Options{
-		VM: "vm", KV: memkv.New(memkv.Options{}), Keys: quarantineKeys{}, Logger: logrus.NewEntry(log), Told: func() {},
+		VM: "vm", KV: memkv.New(memkv.Options{}), Keys: quarantineKeys{}, Logger: logrus.NewEntry(log), EventAdded: func() {},
 	})
 	return f.options.Quarantine
 }
--- a/edge/quarantine/journal.go
+++ b/edge/quarantine/journal.go
@@ -25,9 +25,9 @@
 // Answered reports whether a target has answered the request.
 func (e Event) Answered() bool { return e.Target == 0 }
 
-// Journal holds the events that other VMs are told of. It is safe for use by several
+// BroadcastQueue holds the events that other VMs are told of. It is safe for use by several
 // goroutines.
-type Journal struct {
+type BroadcastQueue struct {
 	mu     sync.Mutex
 	events []told
 }
@@ -42,16 +42,16 @@
 
 // Add notes an event to tell of, and reports whether it is not told of already. What it makes
 // void is told no more, or a VM would go on telling of an end after the request was answered.
-func (j *Journal) Add(now time.Time, e Event, otherRegion bool) bool {
+func (j *BroadcastQueue) Add(now time.Time, e Event, otherRegion bool) bool {
 	return j.add(now, told{Event: e, at: now, otherRegion: otherRegion})
 }
 
-// Heard notes that others tell that a request was answered.
-func (j *Journal) Heard(now time.Time, f Fingerprint) {
+// Suppress notes that others tell that a request was answered.
+func (j *BroadcastQueue) Suppress(now time.Time, f Fingerprint) {
 	j.add(now, told{Event: Event{Request: f}, at: now, heard: true})
 }
 
-func (j *Journal) add(now time.Time, e told) bool {
+func (j *BroadcastQueue) add(now time.Time, e told) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.forgetOld(now)
@@ -69,13 +69,13 @@
 }
 
 // forgetOld is called with the lock held.
-func (j *Journal) forgetOld(now time.Time) {
+func (j *BroadcastQueue) forgetOld(now time.Time) {
 	j.events = slices.DeleteFunc(j.events, func(e told) bool { return now.Sub(e.at) > tellFor })
 }
 
-// Recent returns the events to tell now, without those of other regions unless they are asked
+// Pending returns the events to tell now, without those of other regions unless they are asked
 // for.
-func (j *Journal) Recent(now time.Time, otherRegions bool) []Event {
+func (j *BroadcastQueue) Pending(now time.Time, otherRegions bool) []Event {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.forgetOld(now)
--- a/edge/quarantine/quarantine.go
+++ b/edge/quarantine/quarantine.go
@@ -19,8 +19,8 @@
 type Keys interface {
 	// QuarantineKey returns the key of a request's record, by its fingerprint as text.
 	QuarantineKey(fingerprint string) string
-	// Quarantined returns the fingerprint that a key is of.
-	Quarantined(key string) (fingerprint string, ok bool)
+	// ParseQuarantineKey returns the fingerprint that a key is of.
+	ParseQuarantineKey(key string) (fingerprint string, ok bool)
 }
 
 // Options configure a Quarantine.
@@ -30,9 +30,9 @@
 	KV     store.KV
 	Keys   Keys
 	Logger *logrus.Entry
-	// Told is called when there is an event that other VMs should learn of soon. It must not
+	// EventAdded is called when there is an event that other VMs should learn of soon. It must not
 	// block.
-	Told func()
+	EventAdded func()
 }
 
 // Quarantine is the table of one VM with what connects it to other VMs: events in their
@@ -41,7 +41,7 @@
 type Quarantine struct {
 	options Options
 	table   *Table
-	journal Journal
+	journal BroadcastQueue
 	answers answers
 }
 
@@ -57,8 +57,8 @@
 // Counts returns how many requests are suspected and how many of them are quarantined.
 func (q *Quarantine) Counts() (suspected, quarantined int) { return q.table.Counts() }
 
-// Ended takes in that this VM saw a target end while a request ran there.
-func (q *Quarantine) Ended(now time.Time, f Fingerprint, target uint64) {
+// TargetCrashed takes in that this VM saw a target end while a request ran there.
+func (q *Quarantine) TargetCrashed(now time.Time, f Fingerprint, target uint64) {
 	if q.answers.has(now, f) {
 		q.options.Logger.WithField("fingerprint", f.String()).
 			Info("quarantine: a target ended while it ran the request, which was answered just before")
@@ -107,13 +107,13 @@
 		q.tell(now, e, from.OtherRegion)
 		return
 	}
-	q.journal.Heard(now, e.Request)
+	q.journal.Suppress(now, e.Request)
 }
 
 // tell has other VMs learn of an event soon, unless they are told already.
 func (q *Quarantine) tell(now time.Time, e Event, otherRegion bool) {
 	if q.journal.Add(now, e, otherRegion) {
-		q.options.Told()
+		q.options.EventAdded()
 	}
 }
 
@@ -134,7 +134,7 @@
 	if e.Answered() {
 		return q.table.Answered(now, e.Request, own)
 	}
-	return q.table.Ended(now, e.Request, e.Target, own)
+	return q.table.TargetCrashed(now, e.Request, e.Target, own)
 }
 
 // logEvent tells of an event of this VM, and of another one's if it changes what this VM does
@@ -157,16 +157,16 @@
 	}
 }
 
-// Recent returns the events to tell other VMs now, those of other regions if they are asked
+// PendingEvents returns the events to tell other VMs now, those of other regions if they are asked
 // for.
-func (q *Quarantine) Recent(now time.Time, otherRegions bool) []Event {
-	return q.journal.Recent(now, otherRegions)
+func (q *Quarantine) PendingEvents(now time.Time, otherRegions bool) []Event {
+	return q.journal.Pending(now, otherRegions)
 }
 
-// Claim asks the store for the one trial of a quarantined request that is due, for all VMs. It
+// ClaimTrial asks the store for the one trial of a quarantined request that is due, for all VMs. It
 // returns true if the request may be sent to one target.
-func (q *Quarantine) Claim(ctx context.Context, now time.Time, f Fingerprint) bool {
-	record, at, due := q.table.Claim(now, f)
+func (q *Quarantine) ClaimTrial(ctx context.Context, now time.Time, f Fingerprint) bool {
+	record, at, due := q.table.ClaimTrial(now, f)
 	if !due {
 		return false
 	}
@@ -196,15 +196,15 @@
 // this VM writes what no other one did.
 func (q *Quarantine) Tick(ctx context.Context, now time.Time, first bool) {
 	q.table.Expire(now)
-	for _, w := range q.table.Due(now, first) {
+	for _, w := range q.table.DueWrites(now, first) {
 		go func() {
 			q.perform(ctx, w)
-			q.table.Written(time.Now(), w.Request)
+			q.table.WriteDone(time.Now(), w.Request)
 		}()
 	}
 }
 
-func (q *Quarantine) perform(ctx context.Context, w Write) {
+func (q *Quarantine) perform(ctx context.Context, w StoreWrite) {
 	log := q.options.Logger.WithFields(logrus.Fields{"fingerprint": w.Request.String(), "targets_ended": len(w.Record.Targets), "removed": w.Remove})
 	var err error
 	if w.Remove {
@@ -219,7 +219,7 @@
 	log.WithField("by_other", err != nil).Info("quarantine: record written")
 }
 
-func (q *Quarantine) removeRecord(ctx context.Context, w Write) error {
+func (q *Quarantine) removeRecord(ctx context.Context, w StoreWrite) error {
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	return q.options.KV.Delete(ctx, q.options.Keys.QuarantineKey(w.Request.String()), w.Revision)
@@ -229,7 +229,7 @@
 func (q *Quarantine) Apply(now time.Time, changes []replica.Change) []replica.Change {
 	others := make([]replica.Change, 0, len(changes))
 	for _, c := range changes {
-		text, ok := q.options.Keys.Quarantined(c.Entry.Key)
+		text, ok := q.options.Keys.ParseQuarantineKey(c.Entry.Key)
 		if !ok {
 			others = append(others, c)
 			continue
--- a/edge/quarantine/record.go
+++ b/edge/quarantine/record.go
@@ -80,8 +80,8 @@
 	return !s.removing
 }
 
-// Write is a call to the store that is due.
-type Write struct {
+// StoreWrite is a call to the store that is due.
+type StoreWrite struct {
 	Request Fingerprint
 	Record  Record
 	// Remove tells that the record is to be removed, at the Revision given.
@@ -89,21 +89,21 @@
 	Revision store.Revision
 }
 
-// Due returns the calls to the store that this VM has to make now. Each is under way until
+// DueWrites returns the calls to the store that this VM has to make now. Each is under way until
 // Written is called. first tells that this VM makes those that no other one did.
-func (t *Table) Due(now time.Time, first bool) []Write {
+func (t *Table) DueWrites(now time.Time, first bool) []StoreWrite {
 	if t.IsEmpty() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var due []Write
+	var due []StoreWrite
 	room := maxRecords - t.records()
 	for f, s := range t.suspects {
 		if s.writing || now.Before(s.writeAfter) {
 			continue
 		}
-		w := Write{Request: f, Record: Record{Targets: slices.Clone(s.targets), Trials: s.trials}, Revision: s.revision}
+		w := StoreWrite{Request: f, Record: Record{Targets: slices.Clone(s.targets), Trials: s.trials}, Revision: s.revision}
 		switch {
 		case s.removesAt(now, first):
 			w.Remove = true
@@ -154,9 +154,9 @@
 	return n
 }
 
-// Written ends a call that Due returned. What it wrote is taken in as all VMs do, by SetRecord
+// WriteDone ends a call that Due returned. What it wrote is taken in as all VMs do, by SetRecord
 // and RemoveRecord; a call that failed is due again later.
-func (t *Table) Written(now time.Time, f Fingerprint) {
+func (t *Table) WriteDone(now time.Time, f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.suspects[f]; s != nil {
@@ -164,9 +164,9 @@
 	}
 }
 
-// Claim returns the record that claims a trial, and the revision that it replaces. It returns
+// ClaimTrial returns the record that claims a trial, and the revision that it replaces. It returns
 // false if no trial is due or another claim of this VM is under way.
-func (t *Table) Claim(now time.Time, f Fingerprint) (Record, store.Revision, bool) {
+func (t *Table) ClaimTrial(now time.Time, f Fingerprint) (Record, store.Revision, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f]
--- a/edge/quarantine/replay_test.go
+++ b/edge/quarantine/replay_test.go
@@ -49,8 +49,8 @@
 
 type simKeys struct{}
 
-func (simKeys) QuarantineKey(fingerprint string) string { return "q/" + fingerprint }
-func (simKeys) Quarantined(key string) (string, bool)   { return strings.CutPrefix(key, "q/") }
+func (simKeys) QuarantineKey(fingerprint string) string      { return "q/" + fingerprint }
+func (simKeys) ParseQuarantineKey(key string) (string, bool) { return strings.CutPrefix(key, "q/") }
 
 // simVM is one VM of a simulated fleet.
 type simVM struct {
@@ -138,7 +138,7 @@
 	log.SetLevel(logrus.PanicLevel)
 	v := &simVM{name: fmt.Sprint("vm-", len(f.vms)), region: region, listens: listens}
 	v.Quarantine = New(Options{
-		VM: v.name, KV: simStore{f.kv, f, v}, Keys: simKeys{}, Logger: logrus.NewEntry(log), Told: func() { f.reportSoon(v) },
+		VM: v.name, KV: simStore{f.kv, f, v}, Keys: simKeys{}, Logger: logrus.NewEntry(log), EventAdded: func() { f.reportSoon(v) },
 	})
 	f.readStore(v)
 	f.vms = append(f.vms, v)
@@ -150,9 +150,9 @@
 	f.report(v)
 	if !v.cut {
 		v.table.Expire(f.now)
-		for _, w := range v.table.Due(f.now, v.listens) {
+		for _, w := range v.table.DueWrites(f.now, v.listens) {
 			v.perform(context.Background(), w)
-			v.table.Written(f.now, w.Request)
+			v.table.WriteDone(f.now, w.Request)
 		}
 	}
 	f.after(heartbeat, func() { f.beat(v) })
@@ -171,7 +171,7 @@
 // of it, and to the listeners of other regions.
 func (f *simFleet) report(v *simVM) {
 	v.reported, v.reporting = f.now, false
-	near, far := v.Recent(f.now, true), v.Recent(f.now, false)
+	near, far := v.PendingEvents(f.now, true), v.PendingEvents(f.now, false)
 	if len(near) == 0 || v.cut {
 		return
 	}
@@ -289,7 +289,7 @@
 // ask brings the request to a VM. It ends a target if it is sent to one.
 func (s *sent) ask(now time.Time, v *simVM, target uint64) {
 	verdict := v.Verdict(now, s.f)
-	if verdict.Status == Quarantined || verdict.Status == TrialDue && !v.Claim(context.Background(), now, s.f) {
+	if verdict.Status == Quarantined || verdict.Status == TrialDue && !v.ClaimTrial(context.Background(), now, s.f) {
 		return
 	}
 	s.ends++
@@ -299,7 +299,7 @@
 	if s.ends > quarantineAfter && now.After(s.thirdEnd.Add(inTouch)) {
 		s.laterEnds++
 	}
-	v.Ended(now, s.f, target)
+	v.TargetCrashed(now, s.f, target)
 }
 
 // Load: four requests that end each target come again at any of 550 VMs, 20 times a second each.
@@ -340,8 +340,8 @@
 			before := s.ends
 			s.ask(f.now, v, target)
 			if s.ends > before {
-				v.Ended(f.now, requestNamed(fmt.Sprint("once ", target)), target)
-				v.Ended(f.now, popular, target)
+				v.TargetCrashed(f.now, requestNamed(fmt.Sprint("once ", target)), target)
+				v.TargetCrashed(f.now, popular, target)
 			}
 		}
 		for range 5 {
@@ -386,9 +386,9 @@
 		anyVM().Answered(f.now, popular)
 	}
 	for target := range uint64(100) {
-		anyVM().Ended(f.now, popular, target+1)
+		anyVM().TargetCrashed(f.now, popular, target+1)
 		for i := range 3 {
-			anyVM().Ended(f.now, requestNamed(fmt.Sprint(target, i)), target+1)
+			anyVM().TargetCrashed(f.now, requestNamed(fmt.Sprint(target, i)), target+1)
 		}
 	}
 	refused := 0
--- a/edge/quarantine/table.go
+++ b/edge/quarantine/table.go
@@ -148,9 +148,9 @@
 	return at
 }
 
-// Ended takes in that a target ended while a request ran there; own tells that this VM saw it.
+// TargetCrashed takes in that a target ended while a request ran there; own tells that this VM saw it.
 // It reports whether that is news.
-func (t *Table) Ended(now time.Time, f Fingerprint, target uint64, own bool) (news bool) {
+func (t *Table) TargetCrashed(now time.Time, f Fingerprint, target uint64, own bool) (news bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f]
--- a/edge/quarantine/table_test.go
+++ b/edge/quarantine/table_test.go
@@ -18,7 +18,7 @@
 // ended has targets end under a request, all seen by this VM.
 func ended(table *Table, now time.Time, f Fingerprint, targets ...uint64) {
 	for _, target := range targets {
-		table.Ended(now, f, target, true)
+		table.TargetCrashed(now, f, target, true)
 	}
 }
 
@@ -55,9 +55,9 @@
 			if status(table, start, f) != Clear {
 				t.Error("not cleared")
 			}
-			due := table.Due(start.Add(time.Hour), false)
+			due := table.DueWrites(start.Add(time.Hour), false)
 			if recorded {
-				want := []Write{{Request: f, Remove: true, Revision: 7}}
+				want := []StoreWrite{{Request: f, Remove: true, Revision: 7}}
 				if diff := cmp.Diff(want, due); diff != "" {
 					t.Error(diff)
 				}
@@ -76,16 +76,16 @@
 func TestLateRecordOfAnAnsweredRequestIsRemoved(t *testing.T) {
 	table, f := NewTable(), requestNamed("f")
 	ended(table, start, f, 1, 2, 3)
-	if due := table.Due(start.Add(ownWriteAfter), false); len(due) != 1 || due[0].Remove {
+	if due := table.DueWrites(start.Add(ownWriteAfter), false); len(due) != 1 || due[0].Remove {
 		t.Fatalf("%v is due, want the record", due)
 	}
 	table.Answered(start, f, true)
 	now := start.Add(retryWriteAfter)
-	table.Written(start, f)
+	table.WriteDone(start, f)
 	if table.SetRecord(now, f, Record{Targets: three}, 7) || status(table, now, f) != Clear {
 		t.Error("quarantined by its own late record")
 	}
-	if due := table.Due(now, false); len(due) != 1 || !due[0].Remove {
+	if due := table.DueWrites(now, false); len(due) != 1 || !due[0].Remove {
 		t.Errorf("%v is due, want the removal", due)
 	}
 }
@@ -98,17 +98,17 @@
 	ended(saw, start, f, 1, 2, 3)
 	for _, table := range []*Table{watching, other} {
 		for target := range uint64(3) {
-			table.Ended(start, f, target+1, false)
+			table.TargetCrashed(start, f, target+1, false)
 		}
 	}
-	if due := saw.Due(start.Add(ownWriteAfter), false); len(due) != 1 {
+	if due := saw.DueWrites(start.Add(ownWriteAfter), false); len(due) != 1 {
 		t.Errorf("%v due where targets were seen to end", due)
 	}
 	now := start.Add(unseenWriteAfter)
-	if due := other.Due(now, false); len(due) != 0 {
+	if due := other.DueWrites(now, false); len(due) != 0 {
 		t.Errorf("%v due at a VM that saw nothing", due)
 	}
-	if due := watching.Due(now, true); len(due) != 1 || len(due[0].Record.Targets) != 3 {
+	if due := watching.DueWrites(now, true); len(due) != 1 || len(due[0].Record.Targets) != 3 {
 		t.Errorf("%v due at the VM that writes what no other one did", due)
 	}
 	if !joined.SetRecord(now, f, Record{Targets: three}, 7) || status(joined, now, f) != Quarantined {
@@ -130,23 +130,23 @@
 	ended(a, start, f, 1, 2)
 	ended(b, start, f, 3)
 	now := start.Add(ownWriteAfter)
-	due := a.Due(now, false)
-	if len(due) != 1 || len(due[0].Record.Targets) != 2 || len(b.Due(now, true)) != 0 {
+	due := a.DueWrites(now, false)
+	if len(due) != 1 || len(due[0].Record.Targets) != 2 || len(b.DueWrites(now, true)) != 0 {
 		t.Fatalf("%v is due where two targets were seen to end", due)
 	}
 	if !b.SetRecord(now, f, due[0].Record, 7) || status(b, now, f) != Quarantined {
 		t.Error("not quarantined by the record and what the VM saw itself")
 	}
-	due = b.Due(now.Add(ownWriteAfter), false)
+	due = b.DueWrites(now.Add(ownWriteAfter), false)
 	if len(due) != 1 || len(due[0].Record.Targets) != 3 || due[0].Revision != 7 {
 		t.Fatalf("%v is due where the record lacks a target", due)
 	}
-	a.Written(now, f)
+	a.WriteDone(now, f)
 	a.SetRecord(now, f, Record{Targets: []uint64{1, 2}}, 7)
 	if !a.SetRecord(now, f, due[0].Record, 8) || status(a, now, f) != Quarantined {
 		t.Error("not quarantined by what the other VM added")
 	}
-	if due := a.Due(now.Add(time.Minute), true); len(due) != 0 {
+	if due := a.DueWrites(now.Add(time.Minute), true); len(due) != 0 {
 		t.Errorf("%v is due though the record has all", due)
 	}
 }
@@ -164,11 +164,11 @@
 	if status(table, now.Add(-1), f) != Quarantined || status(table, now, f) != TrialDue {
 		t.Error("the first trial is not due at its time")
 	}
-	record, at, ok := table.Claim(now, f)
+	record, at, ok := table.ClaimTrial(now, f)
 	if !ok || at != 7 || record.Trials != 1 {
 		t.Fatalf("claim %+v at %d, %v", record, at, ok)
 	}
-	if _, _, again := table.Claim(now, f); again || status(table, now, f) != Quarantined {
+	if _, _, again := table.ClaimTrial(now, f); again || status(table, now, f) != Quarantined {
 		t.Error("a second claim while the first is under way")
 	}
 	table.SetRecord(now, f, record, 8)
@@ -201,13 +201,13 @@
 	for i := range maxRecords + 200 {
 		ended(table, start, requestNamed(fmt.Sprint(i)), 1, 2, 3)
 	}
-	if due := table.Due(start.Add(time.Second), true); len(due) != maxRecords {
+	if due := table.DueWrites(start.Add(time.Second), true); len(due) != maxRecords {
 		t.Errorf("%d records are written, want %d", len(due), maxRecords)
 	}
 	for i := range maxRecords + 200 {
-		table.Written(start, requestNamed(fmt.Sprint(i)))
+		table.WriteDone(start, requestNamed(fmt.Sprint(i)))
 	}
-	table.Written(start, bad)
+	table.WriteDone(start, bad)
 	table.Expire(start.Add(2 * evidenceFor))
 	if !table.IsEmpty() {
 		t.Error("requests stay quarantined whose records the store never took")
@@ -218,14 +218,14 @@
 func TestRecordThatNobodyChangesIsRemoved(t *testing.T) {
 	table, f := NewTable(), requestNamed("f")
 	table.SetRecord(start, f, Record{Targets: three}, 7)
-	if due := table.Due(start.Add(recordFor), true); len(due) != 0 {
+	if due := table.DueWrites(start.Add(recordFor), true); len(due) != 0 {
 		t.Errorf("%v due too early", due)
 	}
 	later := start.Add(recordFor + 1)
-	if due := table.Due(later, false); len(due) != 0 {
+	if due := table.DueWrites(later, false); len(due) != 0 {
 		t.Errorf("%v due at a VM that is not the first", due)
 	}
-	if due := table.Due(later, true); len(due) != 1 || !due[0].Remove {
+	if due := table.DueWrites(later, true); len(due) != 1 || !due[0].Remove {
 		t.Errorf("%v due, want the removal", due)
 	}
 }
