--- a/cmd/yuccaentry/main.go
+++ b/cmd/yuccaentry/main.go
@@ -103,7 +103,7 @@
 		}
 		reload(file, logger)
 	}
-	e.Leave()
+	e.Shutdown()
 	logs.Flush(logger, flushTime)
 	return nil
 }
@@ -135,7 +135,7 @@
 		PeerAddress: peer, MetricsAddress: metrics, RegionOf: s.Zones,
 		Names: entry.Names{
 			Fields: platform.Fields, ResolvePath: platform.PathResolve, ReadyPath: platform.PathReady,
-			VMKey: items.VMKey(s.Node.Name), Caller: platform.Caller, Resolved: platform.Resolved,
+			VMKey: items.VMKey(s.Node.Name), ParseCaller: platform.Caller, EncodeAddresses: platform.Resolved,
 		},
 		Codec: items, QuarantineKeys: items, KV: client, Logger: logger,
 		MemoryBytes: memory, MaxConnections: max(64, s.Limits.MaxFiles-filesForTargets),
--- a/cmd/yuccaroute/logs.go
+++ b/cmd/yuccaroute/logs.go
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-func readLogs(cmd *cobra.Command, files []string, o account.Options) (*account.Account, error) {
+func readLogs(cmd *cobra.Command, files []string, o account.Options) (*account.Report, error) {
 	var sources []account.Source
 	for _, name := range files {
 		if name == standardInput {
@@ -80,7 +80,7 @@
 }
 
 // timelineOf plots how requests ended, and how long they took against what was expected.
-func timelineOf(a *account.Account) *chart.Timeline {
+func timelineOf(a *account.Report) *chart.Timeline {
 	length := 0
 	for i := range a.BySecond {
 		length = max(length, a.BySecond[i].Second+1)
--- a/cmd/yuccaroute/logs_test.go
+++ b/cmd/yuccaroute/logs_test.go
@@ -25,11 +25,11 @@
 	if err := root.Execute(); err != nil {
 		t.Fatal(err)
 	}
-	var a account.Account
+	var a account.Report
 	if err := json.Unmarshal(out.Bytes(), &a); err != nil {
 		t.Fatal(err)
 	}
-	if a.Lines != 2 || a.Bad != 1 || a.All.InObjective != 2 {
+	if a.Requests != 2 || a.BadLines != 1 || a.All.InObjective != 2 {
 		t.Errorf("%+v", a)
 	}
 	if info, err := os.Stat(png); err != nil || info.Size() == 0 {
--- a/edge/catalog/catalog.go
+++ b/edge/catalog/catalog.go
@@ -32,11 +32,11 @@
 	IsVM(key string) bool
 }
 
-// Entry is a registered target with the time at which its state was learnt.
-type Entry struct {
+// Target is a registered target with the time at which its state was learnt.
+type Target struct {
 	site.Target
-	// LearntAt is when the registration came, from which ColdFor counts.
-	LearntAt time.Time
+	// ReceivedAt is when the registration came, from which ColdFor counts.
+	ReceivedAt time.Time
 	// MissingSince is set while the registration is missing after an outage.
 	MissingSince time.Time
 }
@@ -47,7 +47,7 @@
 	Config    *site.Config
 	Evacuated map[string]bool
 	// Targets are sorted by id, VMs by name.
-	Targets []Entry
+	Targets []Target
 	VMs     []site.VM
 }
 
@@ -68,7 +68,7 @@
 	mu        sync.Mutex
 	config    *site.Config
 	evacuated map[string]bool
-	targets   map[string]Entry
+	targets   map[string]Target
 	vms       map[string]site.VM
 	// incarnations and foreign outlive the entries.
 	incarnations incarnations
@@ -86,7 +86,7 @@
 	c := &Catalog{
 		options:      o,
 		evacuated:    make(map[string]bool),
-		targets:      make(map[string]Entry),
+		targets:      make(map[string]Target),
 		vms:          make(map[string]site.VM),
 		incarnations: make(incarnations),
 		foreign:      make(recentKeys),
--- a/edge/catalog/target.go
+++ b/edge/catalog/target.go
@@ -56,7 +56,7 @@
 	}
 	delete(c.foreign, key)
 	old, known := c.targets[key]
-	c.targets[key] = Entry{Target: t, LearntAt: c.options.Now()}
+	c.targets[key] = Target{Target: t, ReceivedAt: c.options.Now()}
 	c.incarnations.note(key, t.Born)
 	switch {
 	case !known && !t.Draining:
--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -254,7 +254,7 @@
 }
 
 // busy returns the requests of callers and other VMs whose answers are not wholly given.
-func (e *Entry) busy() int { return e.front.Busy() + e.peer.Busy() }
+func (e *Entry) busy() int { return e.front.InFlight() + e.peer.InFlight() }
 
 // serving reports whether callers may be sent here.
 func (e *Entry) serving() bool { return e.gateway.Ready() && !e.leaving.Load() }
@@ -291,15 +291,15 @@
 	return "/"
 }
 
-// Leave is a planned stop: callers are sent elsewhere, the requests in flight end,
+// Shutdown is a planned stop: callers are sent elsewhere, the requests in flight end,
 // and the VM is off the list. It returns when the process may exit.
-func (e *Entry) Leave() {
+func (e *Entry) Shutdown() {
 	began := time.Now()
 	e.leaving.Store(true)
 	e.part("entry").WithField("busy", e.busy()).Info("entry: leaving")
 	e.talk.Flush()
 	e.unlist()
-	e.front.Part()
+	e.front.DisableKeepAlives()
 	time.Sleep(stopTaking)
 	e.gateway.Leave()
 	e.front.StopListening()
--- a/edge/entry/entry_test.go
+++ b/edge/entry/entry_test.go
@@ -136,9 +136,9 @@
 		RetryRatio: 0.2, RetryExtra: 50, MetricsAddress: f.host.Address(),
 		Names: entry.Names{
 			Fields: names, ResolvePath: "/resolve", ReadyPath: "/ready", VMKey: "vm/" + name,
-			Caller: func(q url.Values) (string, string) { return q.Get("zone"), q.Get("region") },
-			Resolved: func(addresses []string, ttl time.Duration) *serve.Answer {
-				return serve.Plain(http.StatusOK, strings.Join(addresses, ","))
+			ParseCaller: func(q url.Values) (string, string) { return q.Get("zone"), q.Get("region") },
+			EncodeAddresses: func(addresses []string, ttl time.Duration) *serve.Response {
+				return serve.PlainText(http.StatusOK, strings.Join(addresses, ","))
 			},
 		},
 	}
@@ -260,7 +260,7 @@
 		return body == both || body == reverse
 	})
 	stopped := make(chan struct{})
-	go func() { a.Leave(); close(stopped) }()
+	go func() { a.Shutdown(); close(stopped) }()
 	until(t, "the directory names a VM that leaves", func() bool {
 		_, body := get(b.options.DirectoryAddress, "/resolve?zone=n1&region=n")
 		return body == b.options.EntryAddress
@@ -308,7 +308,7 @@
 		defer f.mu.Unlock()
 		return f.served > 0
 	})
-	go leaver.Leave()
+	go leaver.Shutdown()
 	for range requests {
 		// Some are refused, as the only target is full; none may be lost.
 		if status := <-statuses; status != http.StatusOK && status != http.StatusServiceUnavailable {
--- a/edge/entry/handlers.go
+++ b/edge/entry/handlers.go
@@ -50,26 +50,26 @@
 	return l
 }
 
-func (e *Entry) handleReady(context.Context, *serve.Request) *serve.Answer {
+func (e *Entry) handleReady(context.Context, *serve.Request) *serve.Response {
 	if e.serving() {
-		return serve.Plain(http.StatusOK, "ready\n")
+		return serve.PlainText(http.StatusOK, "ready\n")
 	}
-	return serve.Plain(http.StatusServiceUnavailable, "not ready\n")
+	return serve.PlainText(http.StatusServiceUnavailable, "not ready\n")
 }
 
-func (e *Entry) handleResolve(_ context.Context, r *serve.Request) *serve.Answer {
+func (e *Entry) handleResolve(_ context.Context, r *serve.Request) *serve.Response {
 	if r.Path != e.options.Names.ResolvePath {
-		return serve.Plain(http.StatusNotFound, "")
+		return serve.PlainText(http.StatusNotFound, "")
 	}
-	zone, region := e.options.Names.Caller(r.Query)
+	zone, region := e.options.Names.ParseCaller(r.Query)
 	entries := e.members.Entries(zone, region, e.serving(), time.Now())
 	if len(entries) == 0 {
-		return serve.Plain(http.StatusServiceUnavailable, "no entry VM\n")
+		return serve.PlainText(http.StatusServiceUnavailable, "no entry VM\n")
 	}
-	return e.options.Names.Resolved(entries, min(directoryTTL, e.options.MaxTTL))
+	return e.options.Names.EncodeAddresses(entries, min(directoryTTL, e.options.MaxTTL))
 }
 
-func (e *Entry) handlePeer(ctx context.Context, r *serve.Request) *serve.Answer {
+func (e *Entry) handlePeer(ctx context.Context, r *serve.Request) *serve.Response {
 	if gateway.IsDelegated(r) {
 		return e.gateway.HandleDelegated(ctx, r)
 	}
@@ -77,26 +77,26 @@
 	case snapshotPath:
 		after, err := strconv.ParseUint(r.Query.Get("after"), 10, 64)
 		if err != nil {
-			return serve.Plain(http.StatusBadRequest, "after is no revision\n")
+			return serve.PlainText(http.StatusBadRequest, "after is no revision\n")
 		}
 		return e.snapshots.answer(store.Revision(after))
 	case metricsPath:
 		return e.metricsPage()
 	}
-	return serve.Plain(http.StatusNotFound, "")
+	return serve.PlainText(http.StatusNotFound, "")
 }
 
-func (e *Entry) handleMetrics(_ context.Context, r *serve.Request) *serve.Answer {
+func (e *Entry) handleMetrics(_ context.Context, r *serve.Request) *serve.Response {
 	if r.Path != metricsPath {
-		return serve.Plain(http.StatusNotFound, "")
+		return serve.PlainText(http.StatusNotFound, "")
 	}
 	return e.metricsPage()
 }
 
-func (e *Entry) metricsPage() *serve.Answer {
+func (e *Entry) metricsPage() *serve.Response {
 	page := &pageWriter{header: make(http.Header)}
 	e.metrics.Page.ServeHTTP(page, &http.Request{Method: http.MethodGet, Header: make(http.Header)})
-	return &serve.Answer{Status: http.StatusOK, Header: page.header, Body: page.Bytes()}
+	return &serve.Response{Status: http.StatusOK, Header: page.header, Body: page.Bytes()}
 }
 
 // pageWriter holds a page that an http.Handler writes.
--- a/edge/entry/options.go
+++ b/edge/entry/options.go
@@ -24,9 +24,9 @@
 	VMKey string
 	// WatchPrefix is that of all keys that matter.
 	WatchPrefix string
-	// Caller reads who asks for entry VMs; Resolved renders the answer.
-	Caller   func(query url.Values) (zone, region string)
-	Resolved func(addresses []string, ttl time.Duration) *serve.Answer
+	// ParseCaller reads who asks for entry VMs; Resolved renders the answer.
+	ParseCaller     func(query url.Values) (zone, region string)
+	EncodeAddresses func(addresses []string, ttl time.Duration) *serve.Response
 }
 
 // Options configure a VM.
--- a/edge/entry/snapshots.go
+++ b/edge/entry/snapshots.go
@@ -59,13 +59,13 @@
 }
 
 // answer is what changed after a revision, or all items if that is not remembered.
-func (c *snapshots) answer(after store.Revision) *serve.Answer {
+func (c *snapshots) answer(after store.Revision) *serve.Response {
 	r, err := c.render(after)
 	if err != nil {
 		c.log.WithError(err).Error("replica: copy for a peer not rendered")
-		return serve.Plain(http.StatusInternalServerError, err.Error())
+		return serve.PlainText(http.StatusInternalServerError, err.Error())
 	}
-	a := &serve.Answer{Status: http.StatusOK, Header: http.Header{"Content-Type": {"application/msgpack"}}, Body: r.text}
+	a := &serve.Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"application/msgpack"}}, Body: r.text}
 	if r.compressed {
 		a.Header.Set("Content-Encoding", gzipEncoding)
 	}
--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -44,7 +44,7 @@
 // has the new configuration, the next one has not, and the VM seems to go back to the old
 // one. The guard holds because only an owner at the sender's version takes a request; the
 // sender handles all others itself.
-func (g *Gateway) HandleDelegated(ctx context.Context, in *serve.Request) *serve.Answer {
+func (g *Gateway) HandleDelegated(ctx context.Context, in *serve.Request) *serve.Response {
 	version, err := strconv.ParseUint(in.Header.Get(fieldVersion), 10, 64)
 	table := g.table.Load()
 	if err != nil || table == nil || table.Version != version || g.leaving.Load() {
@@ -62,8 +62,8 @@
 	return a
 }
 
-func declined() *serve.Answer {
-	a := serve.Plain(http.StatusServiceUnavailable, "")
+func declined() *serve.Response {
+	a := serve.PlainText(http.StatusServiceUnavailable, "")
 	a.Header[fieldDeclined] = []string{"1"}
 	return a
 }
--- a/edge/gateway/delegate_test.go
+++ b/edge/gateway/delegate_test.go
@@ -201,7 +201,7 @@
 		_, _ = io.Copy(io.Discard, c)
 	}))
 	key := asked.otherKey(t)
-	answers := make(chan *serve.Answer, 1)
+	answers := make(chan *serve.Response, 1)
 	go func() {
 		answers <- asked.Handle(context.Background(), asked.keyed("GET", "/safe/x", "7", key, time.Minute, ""))
 	}()
--- a/edge/gateway/fixture_test.go
+++ b/edge/gateway/fixture_test.go
@@ -178,7 +178,7 @@
 		})
 	}
 	for _, s := range targets {
-		v.Targets = append(v.Targets, catalog.Entry{Target: site.Target{
+		v.Targets = append(v.Targets, catalog.Target{Target: site.Target{
 			ID: s.id, Service: "s", Address: s.address(), Zone: "z", Slots: 4, Draining: draining,
 		}})
 	}
@@ -188,7 +188,7 @@
 // drain has a target leave.
 func (f *fixture) drain(s *target) { f.list(true, s) }
 
-func (f *fixture) ask(ctx context.Context, method, path, id string, deadline time.Duration, body string) *serve.Answer {
+func (f *fixture) ask(ctx context.Context, method, path, id string, deadline time.Duration, body string) *serve.Response {
 	return f.Handle(ctx, &serve.Request{
 		Method: method, Target: path, Path: path, Host: "h:80", Body: []byte(body), Arrived: time.Now(),
 		Header: http.Header{"X-Id": {id}, "X-Deadline": {fmt.Sprint(deadline.Milliseconds())}},
--- a/edge/gateway/gateway.go
+++ b/edge/gateway/gateway.go
@@ -119,7 +119,7 @@
 	list := make([]placing.Listing, 0, len(v.Targets))
 	listed := make(map[string]bool, len(v.Targets))
 	for _, t := range v.Targets {
-		list = append(list, placing.Listing{Target: t.Target, ColdUntil: t.LearntAt.Add(t.ColdFor)})
+		list = append(list, placing.Listing{Target: t.Target, ColdUntil: t.ReceivedAt.Add(t.ColdFor)})
 		listed[poolKey(&t.Target)] = true
 	}
 	g.options.Balancer.SetTargets(now, v.Config.Services, list, v.Evacuated)
--- a/edge/gateway/gateway_test.go
+++ b/edge/gateway/gateway_test.go
@@ -180,7 +180,7 @@
 	})
 	f := newGateway(t, s)
 	ctx, leave := context.WithCancel(context.Background())
-	done := make(chan *serve.Answer, 1)
+	done := make(chan *serve.Response, 1)
 	go func() { done <- f.ask(ctx, "POST", "/once/x", "1", time.Minute, "order") }()
 	<-begun
 	leave()
--- a/edge/gateway/quarantine_test.go
+++ b/edge/gateway/quarantine_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func checkKept(t *testing.T, a *serve.Answer) {
+func checkKept(t *testing.T, a *serve.Response) {
 	t.Helper()
 	after, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	if a.Status != http.StatusServiceUnavailable || err != nil || after < 1 {
@@ -96,7 +96,7 @@
 	f := newGateway(t, s)
 	q := f.withQuarantine()
 	const slots = 4
-	answers := make(chan *serve.Answer, slots+1)
+	answers := make(chan *serve.Response, slots+1)
 	for range slots {
 		go func() { answers <- f.ask(context.Background(), "POST", "/once/x", "1", 2*time.Second, "") }()
 	}
@@ -130,7 +130,7 @@
 	})
 	f := newGateway(t, s)
 	q := f.withQuarantine()
-	first := make(chan *serve.Answer, 1)
+	first := make(chan *serve.Response, 1)
 	go func() { first <- f.ask(context.Background(), "GET", "/safe/x", "1", time.Second, "") }()
 	<-began
 	end(q, fingerprintOf("GET", "/safe/x", ""), 1, 2, 3)
--- a/edge/gateway/restart_test.go
+++ b/edge/gateway/restart_test.go
@@ -21,7 +21,7 @@
 	v := &catalog.View{Config: &site.Config{
 		Version: 3, Services: map[string]site.Service{"s": {Name: "s", MaxConnections: 100}},
 	}}
-	v.Targets = []catalog.Entry{{Target: site.Target{
+	v.Targets = []catalog.Target{{Target: site.Target{
 		ID: "a", Service: "s", Address: second.listener.Addr().String(), Zone: "z", Slots: 4, Born: 9,
 	}}}
 	first.listener.Close()
--- a/edge/gateway/serve.go
+++ b/edge/gateway/serve.go
@@ -64,7 +64,7 @@
 }
 
 // Handle implements serve.Handler.
-func (g *Gateway) Handle(ctx context.Context, in *serve.Request) *serve.Answer {
+func (g *Gateway) Handle(ctx context.Context, in *serve.Request) *serve.Response {
 	j := &job{in: in, id: in.Header.Get(g.options.Fields.RequestID)}
 	end := g.handle(ctx, j, g.table.Load())
 	g.record(j, end)
@@ -160,14 +160,14 @@
 }
 
 // answer renders an outcome.
-func (g *Gateway) answer(end outcome) *serve.Answer {
+func (g *Gateway) answer(end outcome) *serve.Response {
 	if end.code == result.CallerGone {
 		return nil
 	}
 	if a := end.answer; a != nil {
-		out := &serve.Answer{Status: a.Status, Header: a.Header, Body: a.Body, NoBody: a.NoBody}
+		out := &serve.Response{Status: a.Status, Header: a.Header, Body: a.Body, NoBody: a.NoBody}
 		if length := a.LengthField(); len(length) > 0 {
-			out.Length = length[0]
+			out.ContentLength = length[0]
 		}
 		return out
 	}
@@ -177,7 +177,7 @@
 		// Callers repeat any request after 503, which says that it has not run.
 		status = http.StatusServiceUnavailable
 	}
-	a := serve.Plain(status, info.Name+"\n")
+	a := serve.PlainText(status, info.Name+"\n")
 	a.Header[result.HeaderResult] = []string{strconv.Itoa(int(end.code))}
 	a.Header[result.HeaderOutcome] = []string{info.Outcome.String()}
 	if status == http.StatusServiceUnavailable {
--- a/edge/logs/account/account.go
+++ b/edge/logs/account/account.go
@@ -20,12 +20,12 @@
 	Late        int           `json:"late"`
 	Refused     int           `json:"refused"`
 	Failed      int           `json:"failed"`
-	Left        int           `json:"caller_left"`
+	CallerLeft  int           `json:"caller_left"`
 	Causes      map[Cause]int `json:"causes,omitempty"`
 }
 
 // Total returns all requests.
-func (c *Counts) Total() int { return c.InObjective + c.Late + c.Refused + c.Failed + c.Left }
+func (c *Counts) Total() int { return c.InObjective + c.Late + c.Refused + c.Failed + c.CallerLeft }
 
 func (c *Counts) add(cause Cause) {
 	if c.Causes == nil {
@@ -40,12 +40,12 @@
 	Counts
 }
 
-// Account is what a log shows.
-type Account struct {
-	// Lines is how many requests were read, Bad how many lines could not be.
-	Lines int `json:"requests"`
-	Bad   int `json:"bad_lines"`
-	All   Counts
+// Report is what a log shows.
+type Report struct {
+	// Requests is how many requests were read, Bad how many lines could not be.
+	Requests int `json:"requests"`
+	BadLines int `json:"bad_lines"`
+	All      Counts
 	// ByRoute, ByRegion (of the VM that the caller asked) and BySecond (since the first
 	// line) are sorted by their keys.
 	ByRoute  []Group `json:"by_route"`
@@ -67,7 +67,7 @@
 
 // Read accounts for the lines of all sources. It returns an error if a source cannot be
 // read; lines that cannot be are counted.
-func Read(o Options, sources ...Source) (*Account, error) {
+func Read(o Options, sources ...Source) (*Report, error) {
 	r := &reader{
 		options: o, memory: newMemory(), usual: make(map[class]*usual), regions: make(map[string]string),
 		routes: make(map[string]*Counts), places: make(map[string]*Counts), seconds: make(map[int]*Point), began: -1,
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.account.Bad = bad
+	r.account.BadLines = bad
 	r.account.ByRoute, r.account.ByRegion = groups(r.routes), groups(r.places)
 	for _, p := range r.seconds {
 		if p.answered > 0 {
@@ -100,7 +100,7 @@
 
 type reader struct {
 	options Options
-	account Account
+	account Report
 	memory  *memory
 	usual   map[class]*usual
 	// regions of VMs, by name.
@@ -129,7 +129,7 @@
 	if r.began < 0 {
 		r.began = e.at
 	}
-	r.account.Lines++
+	r.account.Requests++
 	p := r.second(e.at)
 	slow := r.causeOfRun(&e)
 	if slow != "" {
@@ -169,7 +169,7 @@
 func (r *reader) count(c *Counts, e *entry, slow Cause) {
 	switch {
 	case e.Result == "caller-gone":
-		c.Left++
+		c.CallerLeft++
 	case e.Sent == 0 && e.mayHaveRun():
 		c.Failed++
 		c.add(OwnerLost)
@@ -197,15 +197,15 @@
 func (r *reader) causeOfLate(e *entry, slow Cause) Cause {
 	switch {
 	case e.Sent > 1:
-		return Repeated
+		return Retried
 	case slow != "":
 		return slow
 	case float64(e.WaitedMS) > waitedShare*float64(e.ObjectiveMS):
-		return Waited
+		return QueueWait
 	case r.isFar(e):
-		return Far
+		return OtherRegion
 	}
-	return LateUntold
+	return LateUnexplained
 }
 
 func (r *reader) isFar(e *entry) bool {
--- a/edge/logs/account/account_test.go
+++ b/edge/logs/account/account_test.go
@@ -26,7 +26,7 @@
 		key, target, ms, ms, more))
 }
 
-func read(t *testing.T, o Options, text string) *Account {
+func read(t *testing.T, o Options, text string) *Report {
 	t.Helper()
 	a, err := Read(o, Source{"vm-1", strings.NewReader(text)})
 	if err != nil {
@@ -65,8 +65,8 @@
 	l.request(1, `"result":"caller-gone","sent":0`)
 	a := read(t, Options{}, l.String())
 	want := map[Cause]int{
-		FirstRun: 1, BesideFirst: 1, NewTarget: 1, Forgotten: 1, Waited: 1, LateUntold: 1, Repeated: 1,
-		TargetRefused: 2, Unreachable: 1, OwnerLost: 1, SlotsTaken: 1, SlotsFree: 1, NoTarget: 1, NotServing: 1, Quarantined: 1, AnswerLost: 1, NoAnswer: 1, TargetFailed: 1,
+		FirstRun: 1, DuringFirstRun: 1, WarmElsewhere: 1, Evicted: 1, QueueWait: 1, LateUnexplained: 1, Retried: 1,
+		TargetRefused: 2, Unreachable: 1, OwnerLost: 1, SlotsTaken: 1, SlotsFree: 1, NoTarget: 1, NotServing: 1, Quarantined: 1, ResponseLost: 1, ResponseTimeout: 1, TargetFailed: 1,
 	}
 	for cause, n := range want {
 		if a.All.Causes[cause] != n {
@@ -76,14 +76,14 @@
 	if len(a.All.Causes) != len(want) {
 		t.Errorf("causes %v", a.All.Causes)
 	}
-	if a.All.InObjective != 30 || a.All.Left != 1 || a.All.Total() != a.Lines || a.Lines != 50 {
-		t.Errorf("%d in objective, %d left, %d of %d", a.All.InObjective, a.All.Left, a.All.Total(), a.Lines)
+	if a.All.InObjective != 30 || a.All.CallerLeft != 1 || a.All.Total() != a.Requests || a.Requests != 50 {
+		t.Errorf("%d in objective, %d left, %d of %d", a.All.InObjective, a.All.CallerLeft, a.All.Total(), a.Requests)
 	}
 	sum := 0
 	for _, p := range a.BySecond {
 		sum += p.Total()
 	}
-	if sum != a.Lines || len(a.ByRegion) != 1 || a.ByRegion[0].Key != "north" || a.ByRoute[0].Total() != a.Lines {
+	if sum != a.Requests || len(a.ByRegion) != 1 || a.ByRegion[0].Key != "north" || a.ByRoute[0].Total() != a.Requests {
 		t.Errorf("by second %d, by region %v", sum, a.ByRegion)
 	}
 }
@@ -98,7 +98,7 @@
 		l.answered(500, fmt.Sprint("o", i%4), "t1", 500, "")
 	}
 	c := read(t, Options{}, l.String()).All.Causes
-	if c[TargetSlow] < 15 || c[TargetSlow]+c[Forgotten] != 20 {
+	if c[TargetSlow] < 15 || c[TargetSlow]+c[Evicted] != 20 {
 		t.Errorf("causes %v", c)
 	}
 }
@@ -114,7 +114,7 @@
 		}
 		l.answered(50, fmt.Sprint("o", i%20), "t1", ms, "")
 	}
-	if c := read(t, Options{}, l.String()).All.Causes; c[LateUntold] > 20 {
+	if c := read(t, Options{}, l.String()).All.Causes; c[LateUnexplained] > 20 {
 		t.Errorf("causes %v", c)
 	}
 }
@@ -134,7 +134,7 @@
 	two.answered(15, "o", "t1", 100, "")
 	two.WriteString(`{"msg":"gateway`)
 	a, err := Read(Options{}, Source{"vm-1", &one}, Source{"all", &two})
-	if err != nil || a.Lines != 3 || a.Bad != 4 {
+	if err != nil || a.Requests != 3 || a.BadLines != 4 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	if len(a.ByRegion) != 2 || a.ByRegion[1].Key != "south" || a.ByRegion[1].Total() != 1 {
@@ -188,8 +188,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a.All.Total() != a.Lines {
-			t.Fatalf("%d of %d requests", a.All.Total(), a.Lines)
+		if a.All.Total() != a.Requests {
+			t.Fatalf("%d of %d requests", a.All.Total(), a.Requests)
 		}
 		if err := a.WriteTables(&bytes.Buffer{}); err != nil {
 			t.Fatal(err)
--- a/edge/logs/account/cause.go
+++ b/edge/logs/account/cause.go
@@ -7,22 +7,22 @@
 const (
 	// FirstRun: no target had run the key before.
 	FirstRun Cause = "late: first run of the key"
-	// BesideFirst: it ran while the target ran the key for the first time.
-	BesideFirst Cause = "late: beside the first run"
-	// NewTarget: another target was warm for the key.
-	NewTarget Cause = "late: warm at another target"
-	// Forgotten: the target had run it, and runs other keys as fast as ever.
-	Forgotten Cause = "late: forgotten by the target"
+	// DuringFirstRun: it ran while the target ran the key for the first time.
+	DuringFirstRun Cause = "late: beside the first run"
+	// WarmElsewhere: another target was warm for the key.
+	WarmElsewhere Cause = "late: warm at another target"
+	// Evicted: the target had run it, and runs other keys as fast as ever.
+	Evicted Cause = "late: forgotten by the target"
 	// TargetSlow: the target runs all keys slowly.
 	TargetSlow Cause = "late: target slow"
-	// Waited: more than a third of the objective went in the queue.
-	Waited Cause = "late: waited in the queue"
-	// Repeated: an earlier sending had failed.
-	Repeated Cause = "late: sent again"
-	// Far: it ran at its usual speed in another region.
-	Far Cause = "late: far region"
-	// LateUntold: none of these.
-	LateUntold Cause = "late: could not be told"
+	// QueueWait: more than a third of the objective went in the queue.
+	QueueWait Cause = "late: waited in the queue"
+	// Retried: an earlier sending had failed.
+	Retried Cause = "late: sent again"
+	// OtherRegion: it ran at its usual speed in another region.
+	OtherRegion Cause = "late: far region"
+	// LateUnexplained: none of these.
+	LateUnexplained Cause = "late: could not be told"
 
 	// SlotsFree: a tenth of the region's slots or more were free.
 	SlotsFree Cause = "refused: slots were free"
@@ -34,13 +34,13 @@
 	NotServing Cause = "refused: VM not serving"
 	// Quarantined: targets ended when they ran it.
 	Quarantined Cause = "refused: ends targets"
-	// RefusedUntold: none of these.
-	RefusedUntold Cause = "refused: could not be told"
+	// RefusedUnexplained: none of these.
+	RefusedUnexplained Cause = "refused: could not be told"
 
-	// AnswerLost: the connection to the target ended before the answer.
-	AnswerLost Cause = "failed: answer lost"
-	// NoAnswer: the time was over before the answer.
-	NoAnswer Cause = "failed: no answer in time"
+	// ResponseLost: the connection to the target ended before the answer.
+	ResponseLost Cause = "failed: answer lost"
+	// ResponseTimeout: the time was over before the answer.
+	ResponseTimeout Cause = "failed: no answer in time"
 	// TargetRefused: each target that it was sent to refused it unrun.
 	TargetRefused Cause = "failed: refused by targets"
 	// OwnerLost: the VM that decides on its key did not answer.
@@ -49,8 +49,8 @@
 	Unreachable Cause = "failed: target not reachable"
 	// TargetFailed: the target answered that it failed.
 	TargetFailed Cause = "failed: target's failure"
-	// FailedUntold: none of these.
-	FailedUntold Cause = "failed: could not be told"
+	// FailedUnexplained: none of these.
+	FailedUnexplained Cause = "failed: could not be told"
 )
 
 // freeShare of a region's slots makes a refusal one that need not have been.
@@ -71,7 +71,7 @@
 	case e.Result == "quarantined":
 		return Quarantined
 	case e.Result != "queue-full" || e.Slots == 0:
-		return RefusedUntold
+		return RefusedUnexplained
 	case float64(e.InFlight) < (1-freeShare)*float64(e.Slots):
 		return SlotsFree
 	}
@@ -81,9 +81,9 @@
 func causeOfFailure(e *entry) Cause {
 	switch e.Result {
 	case "connection-lost", "answer-truncated":
-		return AnswerLost
+		return ResponseLost
 	case "deadline-after-send", "deadline-before-send":
-		return NoAnswer
+		return ResponseTimeout
 	case "ok":
 		return TargetFailed
 	case "target-shed":
@@ -94,5 +94,5 @@
 		// A target had refused it, and then there was no slot.
 		return TargetRefused
 	}
-	return FailedUntold
+	return FailedUnexplained
 }
--- a/edge/logs/account/memory.go
+++ b/edge/logs/account/memory.go
@@ -116,9 +116,9 @@
 	case here && last <= began && at.pace > slowFrom:
 		return TargetSlow
 	case here && last <= began:
-		return Forgotten
+		return Evicted
 	case here || first > began:
-		return BesideFirst
+		return DuringFirstRun
 	}
-	return NewTarget
+	return WarmElsewhere
 }
--- a/edge/logs/account/table.go
+++ b/edge/logs/account/table.go
@@ -8,9 +8,9 @@
 )
 
 // WriteTables writes an account as text.
-func (a *Account) WriteTables(to io.Writer) error {
+func (a *Report) WriteTables(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%d requests, %d lines not understood\n\n", a.Lines, a.Bad)
+	fmt.Fprintf(w, "%d requests, %d lines not understood\n\n", a.Requests, a.BadLines)
 	writeCauses(w, &a.All)
 	writeGroups(w, "route", a.ByRoute)
 	writeGroups(w, "region", a.ByRegion)
@@ -39,7 +39,7 @@
 	for _, cause := range causes {
 		fmt.Fprintf(w, "%d\t%.1f\t%s\t\n", c.Causes[cause], percent(c.Causes[cause], c.Total()), cause)
 	}
-	fmt.Fprintf(w, "%d\t%.1f\tcaller left\t\n", c.Left, percent(c.Left, c.Total()))
+	fmt.Fprintf(w, "%d\t%.1f\tcaller left\t\n", c.CallerLeft, percent(c.CallerLeft, c.Total()))
 }
 
 func writeGroups(w io.Writer, name string, list []Group) {
--- a/edge/serve/conn.go
+++ b/edge/serve/conn.go
@@ -281,13 +281,13 @@
 
 // handle has the handler answer. A handler that panics fails its request only: the callers of
 // such a request repeat it, and it would end one VM after the other.
-func (c *conn) handle(ctx context.Context, r *Request) (answer *Answer) {
+func (c *conn) handle(ctx context.Context, r *Request) (answer *Response) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			c.server.options.Logger.WithFields(logrus.Fields{"panic": cause, "stack": string(debug.Stack())}).
 				Error("serve: handler panicked")
 			info := result.InfoOf(result.Internal)
-			answer = Plain(info.HTTP, info.Name+"\n")
+			answer = PlainText(info.HTTP, info.Name+"\n")
 			answer.Header[result.HeaderResult] = []string{strconv.Itoa(int(info.Code))}
 		}
 	}()
@@ -305,7 +305,7 @@
 // answers holds buffers for answers.
 var answers = sync.Pool{New: func() any { return bytes.NewBuffer(make([]byte, 0, writeBuffer)) }}
 
-func (c *conn) write(a *Answer, last bool) error {
+func (c *conn) write(a *Response, last bool) error {
 	b := answers.Get().(*bytes.Buffer)
 	defer answers.Put(b)
 	b.Reset()
--- a/edge/serve/message.go
+++ b/edge/serve/message.go
@@ -24,15 +24,15 @@
 	Arrived time.Time
 }
 
-// Answer is what a caller gets.
-type Answer struct {
+// Response is what a caller gets.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	// NoBody tells that an answer of this kind has none; Length is then what its
 	// Content-Length says, "" for none.
-	NoBody bool
-	Length string
+	NoBody        bool
+	ContentLength string
 }
 
 // notPassedOn are the fields of an answer that concern one connection only.
@@ -42,7 +42,7 @@
 }
 
 // encode renders an answer.
-func (a *Answer) encode(b *bytes.Buffer, last bool) {
+func (a *Response) encode(b *bytes.Buffer, last bool) {
 	b.WriteString("HTTP/1.1 ")
 	b.WriteString(strconv.Itoa(a.Status))
 	b.WriteByte(' ')
@@ -57,7 +57,7 @@
 			writeField(b, name, value)
 		}
 	}
-	length := a.Length
+	length := a.ContentLength
 	if !a.NoBody {
 		length = strconv.Itoa(len(a.Body))
 	}
@@ -91,9 +91,9 @@
 	b.WriteString("\r\n")
 }
 
-// Plain is an answer of the system's own.
-func Plain(status int, text string) *Answer {
-	a := &Answer{Status: status, Header: make(http.Header, 2)}
+// PlainText is an answer of the system's own.
+func PlainText(status int, text string) *Response {
+	a := &Response{Status: status, Header: make(http.Header, 2)}
 	if text != "" {
 		a.Header["Content-Type"] = []string{"text/plain; charset=utf-8"}
 		a.Body = []byte(text)
@@ -102,6 +102,6 @@
 }
 
 // JSON is an answer with a JSON body.
-func JSON(status int, body []byte) *Answer {
-	return &Answer{Status: status, Header: http.Header{"Content-Type": {"application/json"}}, Body: body}
+func JSON(status int, body []byte) *Response {
+	return &Response{Status: status, Header: http.Header{"Content-Type": {"application/json"}}, Body: body}
 }
--- a/edge/serve/refuse.go
+++ b/edge/serve/refuse.go
@@ -27,7 +27,7 @@
 	case <-ctx.Done():
 		return
 	}
-	a := Plain(status, "")
+	a := PlainText(status, "")
 	if status == http.StatusServiceUnavailable {
 		a.Header["Retry-After"] = []string{"0.3"}
 	}
--- a/edge/serve/server.go
+++ b/edge/serve/server.go
@@ -38,7 +38,7 @@
 
 // Handler answers requests. The context ends when the caller goes away. A nil
 // answer closes the connection.
-type Handler func(ctx context.Context, r *Request) *Answer
+type Handler func(ctx context.Context, r *Request) *Response
 
 // Options configure a Server.
 type Options struct {
@@ -87,11 +87,11 @@
 // Address returns the ip:port in use.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Busy returns the requests whose answers are not wholly given.
-func (s *Server) Busy() int { return int(s.busy.Load()) }
+// InFlight returns the requests whose answers are not wholly given.
+func (s *Server) InFlight() int { return int(s.busy.Load()) }
 
-// Part ends each connection with its next answer.
-func (s *Server) Part() { s.parting.Store(true) }
+// DisableKeepAlives ends each connection with its next answer.
+func (s *Server) DisableKeepAlives() { s.parting.Store(true) }
 
 // StopListening takes no more connections.
 func (s *Server) StopListening() { _ = s.listener.Close() }
--- a/edge/serve/server_test.go
+++ b/edge/serve/server_test.go
@@ -77,10 +77,10 @@
 func TestRequestsSentAheadAreWorkedOnTogether(t *testing.T) {
 	var started sync.WaitGroup
 	started.Add(3)
-	s := start(t, func(_ context.Context, r *Request) *Answer {
+	s := start(t, func(_ context.Context, r *Request) *Response {
 		started.Done()
 		started.Wait()
-		return Plain(http.StatusOK, r.Path)
+		return PlainText(http.StatusOK, r.Path)
 	})
 	c := dial(t, s)
 	c.say(get("/1") + get("/2") + get("/3"))
@@ -95,7 +95,7 @@
 // a target works for nobody.
 func TestCallerThatLeavesIsSeen(t *testing.T) {
 	left, begun := make(chan struct{}), make(chan struct{})
-	s := start(t, func(ctx context.Context, _ *Request) *Answer {
+	s := start(t, func(ctx context.Context, _ *Request) *Response {
 		close(begun)
 		<-ctx.Done()
 		close(left)
@@ -109,8 +109,8 @@
 }
 
 func TestBodies(t *testing.T) {
-	s := start(t, func(_ context.Context, r *Request) *Answer {
-		return Plain(http.StatusOK, fmt.Sprintf("%s %s %d", r.Method, r.Target, len(r.Body)))
+	s := start(t, func(_ context.Context, r *Request) *Response {
+		return PlainText(http.StatusOK, fmt.Sprintf("%s %s %d", r.Method, r.Target, len(r.Body)))
 	})
 	c := dial(t, s)
 	body := strings.Repeat("x", 100<<10)
@@ -135,7 +135,7 @@
 
 // What is not HTTP, or over a limit, is refused with the reason, and no handler sees it.
 func TestRefusals(t *testing.T) {
-	s := start(t, func(context.Context, *Request) *Answer {
+	s := start(t, func(context.Context, *Request) *Response {
 		t.Error("a handler ran")
 		return nil
 	})
@@ -164,8 +164,8 @@
 
 // The head is longer than the connection's buffer but within the limit.
 func TestLongHeadWithinTheLimit(t *testing.T) {
-	s := start(t, func(_ context.Context, r *Request) *Answer {
-		return Plain(http.StatusOK, fmt.Sprint(len(r.Header.Get("X")), " ", len(r.Body)))
+	s := start(t, func(_ context.Context, r *Request) *Response {
+		return PlainText(http.StatusOK, fmt.Sprint(len(r.Header.Get("X")), " ", len(r.Body)))
 	})
 	c := dial(t, s)
 	c.say("POST / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("y", 7<<10) + "\r\nContent-Length: 3\r\n\r\nabc" + get("/"))
@@ -182,17 +182,17 @@
 func TestPartingAnswersAllThatWasRead(t *testing.T) {
 	release := make(chan struct{})
 	var worked sync.Map
-	s := start(t, func(_ context.Context, r *Request) *Answer {
+	s := start(t, func(_ context.Context, r *Request) *Response {
 		worked.Store(r.Path, true)
 		<-release
-		return Plain(http.StatusOK, r.Path)
+		return PlainText(http.StatusOK, r.Path)
 	})
 	c := dial(t, s)
 	c.say(get("/1") + get("/2"))
-	for s.Busy() < 2 {
+	for s.InFlight() < 2 {
 		runtime.Gosched()
 	}
-	s.Part()
+	s.DisableKeepAlives()
 	s.CloseIdle()
 	close(release)
 	if _, body, last := c.hear(); body != "/1" || last {
@@ -212,7 +212,7 @@
 
 // A caller asks for the end of the connection with its request.
 func TestCallerEndsTheConnection(t *testing.T) {
-	s := start(t, func(context.Context, *Request) *Answer { return Plain(http.StatusOK, "done") })
+	s := start(t, func(context.Context, *Request) *Response { return PlainText(http.StatusOK, "done") })
 	c := dial(t, s)
 	c.say("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
 	if _, body, last := c.hear(); body != "done" || !last {
@@ -227,7 +227,7 @@
 // the body's.
 func TestAnswerFields(t *testing.T) {
 	var b bytes.Buffer
-	a := &Answer{Status: 200, Body: []byte("abc"), Header: http.Header{
+	a := &Response{Status: 200, Body: []byte("abc"), Header: http.Header{
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=3"}, "Content-Length": {"99"},
 		"Transfer-Encoding": {"chunked"}, "X-Kept": {"2", "3"},
 	}}
@@ -246,11 +246,11 @@
 // Guards against a request that ends each VM that works on it, one after the other: a fault in
 // the code that handles it must not end the process.
 func TestHandlerThatPanicsEndsOnlyItsRequest(t *testing.T) {
-	s := start(t, func(_ context.Context, r *Request) *Answer {
+	s := start(t, func(_ context.Context, r *Request) *Response {
 		if r.Path == "/bad" {
 			panic("no such thing")
 		}
-		return Plain(http.StatusOK, "fine")
+		return PlainText(http.StatusOK, "fine")
 	})
 	c := dial(t, s)
 	c.say(get("/bad") + get("/good"))
