--- a/edge/gateway/gateway.go
+++ b/edge/gateway/gateway.go
@@ -119,7 +119,7 @@
 	list := make([]placing.TargetSpec, 0, len(v.Targets))
 	listed := make(map[string]bool, len(v.Targets))
 	for _, t := range v.Targets {
-		list = append(list, placing.TargetSpec{Target: t.Target, ColdUntil: t.LearntAt.Add(t.ColdRemaining)})
+		list = append(list, placing.TargetSpec{Target: t.Target, ColdUntil: t.ReceivedAt.Add(t.ColdRemaining)})
 		listed[poolKey(&t.Target)] = true
 	}
 	g.options.Balancer.SetTargets(now, v.Config.Services, list, v.Evacuated)
