--- a/bench/scenario/decider_relay.go
+++ b/bench/scenario/decider_relay.go
@@ -44,7 +44,7 @@
 	}
 	d.relays = make(map[string]*simulatedRelay)
 	for place, size := range sizes {
-		if size >= relay.LeastDomain {
+		if size >= relay.MinDomainNodes {
 			d.relays[place] = &simulatedRelay{}
 		}
 	}
@@ -55,7 +55,7 @@
 	r := d.relays[sent.node.ref.Place]
 	sent.node.held = true
 	if len(r.held) == 0 {
-		r.due = d.now.Add(relay.Hold(len(d.nodes)))
+		r.due = d.now.Add(relay.HoldTime(len(d.nodes)))
 	}
 	if urgent {
 		r.due = d.now
@@ -84,16 +84,16 @@
 	for _, sent := range held {
 		reports = append(reports, sent.request)
 	}
-	batch := relay.Fold(string(accountName), reports)
+	batch := relay.EncodeBatch(string(accountName), reports)
 	size := proto.CloneOf(batch)
 	started := time.Now()
-	response := relay.Answer(context.Background(), batch, func(_ context.Context, request *peerpb.RenewRequest) *peerpb.RenewResponse {
+	response := relay.AnswerBatch(context.Background(), batch, func(_ context.Context, request *peerpb.RenewRequest) *peerpb.RenewResponse {
 		return d.core.Renew(request, d.now)
 	})
 	d.counts.renewTime += time.Since(started)
 	d.counts.take(1, size, response)
 	r.counts.take(1, size, response)
-	for i, answer := range relay.UnfoldAnswers(response) {
+	for i, answer := range relay.DecodeAnswers(response) {
 		r.counts.take(1, &peerpb.PassRequest{Report: held[i].request, DeciderEpoch: answer.Epoch}, answer)
 		held[i].node.held = false
 		d.answered(held[i], answer)
--- a/bench/scenario/decider_world.go
+++ b/bench/scenario/decider_world.go
@@ -67,7 +67,7 @@
 	held bool
 	// callers tells that callers reach the node.
 	callers bool
-	told    holder.Told
+	told    holder.ReportTracker
 	holder  *holder.Core
 }
 
@@ -85,7 +85,7 @@
 		Planner:          planner.New(),
 		ReportsPerSecond: decider.DefaultReportsPerSecond,
 	}
-	core, err := decider.Begin(options, d.account, 1, store.Entry{}, d.now)
+	core, err := decider.NewCore(options, d.account, 1, store.Entry{}, d.now)
 	if err != nil {
 		return nil, err
 	}
@@ -163,7 +163,7 @@
 // step is the decider's work of one second.
 func (d *deciderWorld) step() error {
 	started := time.Now()
-	d.core.Observe(d.listed, 1, d.now)
+	d.core.ObserveVMs(d.listed, 1, d.now)
 	write, due := d.core.Step(d.account, d.now)
 	if due {
 		d.revision++
@@ -174,7 +174,7 @@
 			return err
 		}
 	}
-	asked := d.core.Hasten(d.now)
+	asked := d.core.NodesToHasten(d.now)
 	d.counts.stepTime += time.Since(started)
 	d.hasten(asked)
 	return d.publish()
@@ -193,7 +193,7 @@
 }
 
 func (d *deciderWorld) publish() error {
-	p := d.core.Publish()
+	p := d.core.CommittedPlan()
 	if p == nil || p == d.plan {
 		return nil
 	}
@@ -229,7 +229,7 @@
 	n.holder.Tick(d.now)
 	recent := d.measure(n)
 	n.measured = observe.Join(n.measured, recent)
-	if n.held || n.due.After(d.now) || d.now.Before(n.restDue) && n.told.Enough(recent, n.measured, n.holder.Set()) {
+	if n.held || n.due.After(d.now) || d.now.Before(n.restDue) && n.told.UpToDate(recent, n.measured, n.holder.Set()) {
 		return
 	}
 	d.report(n, false)
@@ -241,18 +241,18 @@
 	request  *peerpb.RenewRequest
 	measured observe.Report
 	// acknowledged is what it acknowledges, and when it left.
-	acknowledged holder.Sent
+	acknowledged holder.SentRequest
 }
 
 // report makes the report of a node. One that is urgent does not wait at a relay.
 func (d *deciderWorld) report(n *simulatedNode, urgent bool) {
 	measured := n.measured
 	n.measured = observe.Report{}
-	acknowledged := n.holder.Request(d.now)
+	acknowledged := n.holder.StartRequest(d.now)
 	request := holder.NewRequest(measured)
 	request.Node, request.Account = n.ref, string(accountName)
 	request.AppliedEpoch, request.AppliedSequence, request.GrantNames = acknowledged.Epoch, acknowledged.Sequence, acknowledged.GrantNames
-	n.told.Shorten(request, measured, n.holder.Set(), d.now)
+	n.told.OmitKnown(request, measured, n.holder.Set(), d.now)
 	sent := &sentReport{node: n, request: request, measured: measured, acknowledged: acknowledged}
 	if d.relays[n.ref.Place] != nil {
 		d.pass(sent, urgent)
@@ -272,12 +272,12 @@
 	interval := max(time.Duration(answer.NextMs)*time.Millisecond, ledgerStep)
 	at := sent.acknowledged.At
 	n.due = at.Add(d.jitter(interval))
-	n.restDue = at.Add(d.jitter(max(interval, holder.RestInterval)))
-	if n.holder.Answer(sent.acknowledged, answer, d.now) != holder.Applied {
-		n.told.Unanswered()
+	n.restDue = at.Add(d.jitter(max(interval, holder.SteadyReportInterval)))
+	if n.holder.HandleResponse(sent.acknowledged, answer, d.now) != holder.Applied {
+		n.told.Reset()
 		return
 	}
-	n.told.Answered(sent.request, sent.measured, answer, at)
+	n.told.RecordAnswer(sent.request, sent.measured, answer, at)
 }
 
 // jitter spreads reports as nodes do.
--- a/control/account.go
+++ b/control/account.go
@@ -62,17 +62,17 @@
 			Planner:          o.Planner,
 			ReportsPerSecond: decider.DefaultReportsPerSecond,
 		},
-		Account:     a.name,
-		KV:          o.Store,
-		Lease:       a.campaign,
-		Configured:  a.configured.Load,
-		Listed:      a.system.listed,
-		Publish:     a.publishPlan,
-		Hasten:      a.hasten,
-		Hurry:       a.hurry,
-		Clock:       o.Clock,
-		Logger:      o.Logger,
-		CallTimeout: decider.DefaultCallTimeout,
+		Account:             a.name,
+		KV:                  o.Store,
+		Lease:               a.campaign,
+		Configured:          a.configured.Load,
+		VMList:              a.system.listed,
+		Publish:             a.publishPlan,
+		HastenNode:          a.hasten,
+		RequestReallocation: a.hurry,
+		Clock:               o.Clock,
+		Logger:              o.Logger,
+		CallTimeout:         decider.DefaultCallTimeout,
 	}
 }
 
@@ -92,9 +92,9 @@
 		Decider: a.deciderRef,
 		Lenders: a.system.lenders,
 
-		Relays:         a.system.relays.members,
-		RelayFromNodes: o.RelayFromNodes,
-		Pass:           a.system.pass,
+		Relays:        a.system.relays.members,
+		RelayMinFleet: o.RelayFromNodes,
+		SendViaRelay:  a.system.pass,
 
 		Apply:  o.ApplyGrants,
 		Clock:  o.Clock,
@@ -115,7 +115,7 @@
 func (a *account) step(ctx context.Context) {
 	o := &a.system.options
 	rank := campaign.Rank(a.name, o.Node.VM, a.system.candidates())
-	due := !o.Leaving() && !a.stopped.Load() && campaign.Due(rank, a.withoutDecider())
+	due := !o.Leaving() && !a.stopped.Load() && campaign.ShouldCampaign(rank, a.withoutDecider())
 	if err := a.campaign.Step(ctx, due); err != nil {
 		o.Logger.WithError(err).Error("control: cannot campaign")
 	}
@@ -176,7 +176,7 @@
 		return
 	case <-time.After(gather):
 	}
-	a.resignOn(ctx, a.decider.Relieve(ctx))
+	a.resignOn(ctx, a.decider.Reallocate(ctx))
 }
 
 // stop hands back the grants, to this node itself if it decides, and then the
--- a/control/campaign/campaign.go
+++ b/control/campaign/campaign.go
@@ -69,9 +69,9 @@
 	return e.Held()
 }
 
-// Due reports whether a node of this rank should campaign after being without
+// ShouldCampaign reports whether a node of this rank should campaign after being without
 // a decider for a time.
-func Due(rank int, without time.Duration) bool {
+func ShouldCampaign(rank int, without time.Duration) bool {
 	if rank >= mostRanks {
 		return false
 	}
--- a/control/campaign/campaign_test.go
+++ b/control/campaign/campaign_test.go
@@ -18,7 +18,7 @@
 	for _, without := range []time.Duration{0, time.Hour} {
 		due := 0
 		for _, vm := range fleet {
-			if Due(Rank("daehan", vm, fleet), without) {
+			if ShouldCampaign(Rank("daehan", vm, fleet), without) {
 				due++
 			}
 		}
--- a/control/campaign/rank.go
+++ b/control/campaign/rank.go
@@ -29,8 +29,8 @@
 	return rank
 }
 
-// Order returns the candidates sorted by their score for a name.
-func Order(name string, candidates []string) []string {
+// RankOrder returns the candidates sorted by their score for a name.
+func RankOrder(name string, candidates []string) []string {
 	ordered := append([]string(nil), candidates...)
 	sort.Slice(ordered, func(i, j int) bool {
 		a := score(model.AccountName(name), ordered[i])
--- a/control/decider/bench_test.go
+++ b/control/decider/bench_test.go
@@ -57,7 +57,7 @@
 		Planner:          Nearest{},
 		ReportsPerSecond: DefaultReportsPerSecond,
 	}
-	core, err := Begin(options, t.account, 1, store.Entry{}, start)
+	core, err := NewCore(options, t.account, 1, store.Entry{}, start)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	}
 	for range 10 {
 		t.step()
-		core.Observe(list, 1, t.now)
+		core.ObserveVMs(list, 1, t.now)
 		for _, r := range t.requests {
 			t.renew(r)
 		}
--- a/control/decider/core.go
+++ b/control/decider/core.go
@@ -31,9 +31,9 @@
 // DefaultReportsPerSecond is how many reports a second a decider takes.
 const DefaultReportsPerSecond = 200
 
-// ErrLost tells that another decider has written the ledger: this one must
+// ErrSuperseded tells that another decider has written the ledger: this one must
 // give up its lease.
-var ErrLost = errors.New("decider: another decider took over")
+var ErrSuperseded = errors.New("decider: another decider took over")
 
 // Write is a write of the ledger that is due.
 type Write struct {
@@ -55,7 +55,7 @@
 	nodes    map[uint64]ledger.Node
 	previous *plan.Plan
 	sequence uint64
-	planned  Planned
+	planned  PlannerOutput
 	// uncertain tells that one attempt at the pending write had an unknown
 	// outcome, so that no later answer can tell that it did not happen.
 	uncertain bool
@@ -69,9 +69,9 @@
 	keysHashed int
 }
 
-// Begin takes over at now. entry is the stored ledger, or the zero Entry when
+// NewCore takes over at now. entry is the stored ledger, or the zero Entry when
 // there is none. The account must not be nil.
-func Begin(options Options, account *model.Account, epoch uint64, entry store.Entry, now time.Time) (*Core, error) {
+func NewCore(options Options, account *model.Account, epoch uint64, entry store.Entry, now time.Time) (*Core, error) {
 	c := &Core{
 		options:  options,
 		account:  account,
@@ -119,11 +119,11 @@
 // Ledger gives access to the ledger, for checks and status.
 func (c *Core) Ledger() *ledger.Ledger { return c.ledger }
 
-// Planned returns the last result of the planner.
-func (c *Core) Planned() Planned { return c.planned }
+// PlannerOutput returns the last result of the planner.
+func (c *Core) PlannerOutput() PlannerOutput { return c.planned }
 
-// Observe takes in a reading of the VM list that was made at readAt.
-func (c *Core) Observe(list []ledger.Listed, sequence uint64, readAt time.Time) {
+// ObserveVMs takes in a reading of the VM list that was made at readAt.
+func (c *Core) ObserveVMs(list []ledger.Listed, sequence uint64, readAt time.Time) {
 	c.ledger.Observe(list, sequence, readAt)
 }
 
@@ -139,9 +139,9 @@
 	return c.propose(now)
 }
 
-// Relieve gives what is free to nodes that are short, without a new plan: its
+// Reallocate gives what is free to nodes that are short, without a new plan: its
 // outcome is that of Step.
-func (c *Core) Relieve(now time.Time) (w Write, ok bool) {
+func (c *Core) Reallocate(now time.Time) (w Write, ok bool) {
 	if c.lost {
 		return Write{}, false
 	}
@@ -172,17 +172,17 @@
 
 func (c *Core) makePlan(now time.Time) {
 	reports, unheard := c.observed(now)
-	c.planned = c.options.Planner.Plan(Situation{
-		Account: c.account,
-		Reports: reports,
-		Unheard: unheard,
-		Permitted: func(id grant.NodeID, service model.ServiceName) float64 {
+	c.planned = c.options.Planner.Plan(PlannerInput{
+		Account:         c.account,
+		Reports:         reports,
+		UnreportedNodes: unheard,
+		PermittedRPS: func(id grant.NodeID, service model.ServiceName) float64 {
 			return c.ledger.Permitted(id, service, now).RPS()
 		},
-		Previous: c.previous,
-		Moves:    c.ledger.Moves(),
-		Now:      now,
-		Since:    c.since,
+		Previous:  c.previous,
+		Moves:     c.ledger.Moves(),
+		Now:       now,
+		TermStart: c.since,
 	})
 	if c.previous != nil && sameFlows(c.previous.Flows, c.planned.Flows) && c.previous.Epoch == c.Epoch() {
 		return
@@ -205,18 +205,18 @@
 }
 
 // Settle takes in the outcome of the last write: the revision, or the error of
-// store.KV.Swap. It returns ErrLost when another decider has written, and
-// ErrResolve when Resolve must be called with the stored entry.
+// store.KV.Swap. It returns ErrSuperseded when another decider has written, and
+// ErrUnresolvedWrite when Resolve must be called with the stored entry.
 func (c *Core) Settle(revision store.Revision, err error) error {
 	switch {
 	case err == nil:
 		c.written(revision)
 		return nil
 	case store.IsConflict(err) && c.uncertain:
-		return ErrResolve
+		return ErrUnresolvedWrite
 	case store.IsConflict(err):
 		c.lost = true
-		return ErrLost
+		return ErrSuperseded
 	case errors.Is(err, store.ErrUnavailable) && !c.uncertain:
 		return nil
 	case c.options.Ledger.Faults.UnknownIsFailed:
@@ -228,8 +228,8 @@
 	}
 }
 
-// ErrResolve tells that the outcome of an earlier attempt must be read back.
-var ErrResolve = errors.New("decider: read the ledger back")
+// ErrUnresolvedWrite tells that the outcome of an earlier attempt must be read back.
+var ErrUnresolvedWrite = errors.New("decider: read the ledger back")
 
 // Resolve settles a write with a conflict after a lost answer: the stored
 // ledger bears its stamp if it took effect.
@@ -240,7 +240,7 @@
 	}
 	if stamp != c.ledger.Stamp() {
 		c.lost = true
-		return ErrLost
+		return ErrSuperseded
 	}
 	c.written(entry.Revision)
 	return nil
@@ -255,14 +255,14 @@
 	}
 }
 
-// Publish returns the plan in force. Before its write is settled it returns
+// CommittedPlan returns the plan in force. Before its write is settled it returns
 // the one before, nil if there is none of this term.
-func (c *Core) Publish() *plan.Plan { return c.ready }
+func (c *Core) CommittedPlan() *plan.Plan { return c.ready }
 
-// Published notes that the plan of Publish has been given out by now. It must
+// MarkPublished notes that the plan of Publish has been given out by now. It must
 // be called after that and before the next Step. While a newer plan waits for
 // its write it does nothing: the moves of that plan have not begun.
-func (c *Core) Published(now time.Time) {
+func (c *Core) MarkPublished(now time.Time) {
 	if c.ready == nil || c.ready != c.previous {
 		return
 	}
--- a/control/decider/hasten.go
+++ b/control/decider/hasten.go
@@ -13,12 +13,12 @@
 // reportSlack is how late a regular report may be.
 const reportSlack = 250 * time.Millisecond
 
-// Hasten returns the nodes that are to be asked to report now: their grants are
+// NodesToHasten returns the nodes that are to be asked to report now: their grants are
 // to change, which another node may wait for, and they are at rest or have not
 // reported for longer than a node does whose demand changes. They are at most as many as may
 // report in a second. A node that could not be told anything for long is left
 // out.
-func (c *Core) Hasten(now time.Time) []ledger.Node {
+func (c *Core) NodesToHasten(now time.Time) []ledger.Node {
 	var nodes []ledger.Node
 	for _, node := range c.ledger.Untold() {
 		r := c.reports[node.ID]
--- a/control/decider/nearest.go
+++ b/control/decider/nearest.go
@@ -15,14 +15,14 @@
 type Nearest struct{}
 
 // Plan implements Planner.
-func (Nearest) Plan(s Situation) Planned {
+func (Nearest) Plan(s PlannerInput) PlannerOutput {
 	var flows []plan.Flow
 	for i := range s.Account.Services {
 		for _, caller := range s.Account.Regions {
 			flows = append(flows, nearestFlow(s.Account, &s.Account.Services[i], &caller))
 		}
 	}
-	return Planned{Flows: flows, Moves: movesOf(s.Previous, flows)}
+	return PlannerOutput{Flows: flows, Moves: movesOf(s.Previous, flows)}
 }
 
 func nearestFlow(a *model.Account, service *model.Service, caller *model.Region) plan.Flow {
--- a/control/decider/planner.go
+++ b/control/decider/planner.go
@@ -10,32 +10,32 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// Observed is the last report of one node and its age.
-type Observed struct {
+// NodeReport is the last report of one node and its age.
+type NodeReport struct {
 	Report observe.Report
 	Age    time.Duration
 }
 
-// Situation is what a plan is made from.
-type Situation struct {
+// PlannerInput is what a plan is made from.
+type PlannerInput struct {
 	Account *model.Account
-	Reports []Observed
-	// Unheard are the nodes on record that have not reported to this decider.
-	Unheard []grant.NodeID
-	// Permitted returns the rate, in requests per second, that the grants in
+	Reports []NodeReport
+	// UnreportedNodes are the nodes on record that have not reported to this decider.
+	UnreportedNodes []grant.NodeID
+	// PermittedRPS returns the rate, in requests per second, that the grants in
 	// force let a node send for a service; nil when it is not known.
-	Permitted func(grant.NodeID, model.ServiceName) float64
-	Previous  *plan.Plan
+	PermittedRPS func(grant.NodeID, model.ServiceName) float64
+	Previous     *plan.Plan
 	// Moves are those made lately, by whichever decider.
 	Moves []ledger.Move
 	Now   time.Time
-	// Since is when this decider took over: a report that is missing may not
+	// TermStart is when this decider took over: a report that is missing may not
 	// have had the time to arrive before it.
-	Since time.Time
+	TermStart time.Time
 }
 
-// Planned is the result of a Planner.
-type Planned struct {
+// PlannerOutput is the result of a Planner.
+type PlannerOutput struct {
 	// Flows is the next plan; it is equal to the previous one when nothing is
 	// to change.
 	Flows []plan.Flow
@@ -47,7 +47,7 @@
 
 // Planner makes plans. It must be deterministic and do no I/O.
 type Planner interface {
-	Plan(Situation) Planned
+	Plan(PlannerInput) PlannerOutput
 }
 
 // moveMemory is for how many windows of the move cap moves are remembered.
--- a/control/decider/renew.go
+++ b/control/decider/renew.go
@@ -17,17 +17,17 @@
 // Renew takes in a report received at now and answers it. The caller must have
 // found the lease held after it received the report.
 func (c *Core) Renew(request *peerpb.RenewRequest, now time.Time) *peerpb.RenewResponse {
-	if response, _ := c.Take(request, now); response != nil {
+	if response, _ := c.RecordReport(request, now); response != nil {
 		return response
 	}
-	return c.Answer(request, now)
+	return c.Respond(request, now)
 }
 
-// Take takes in a report received at now. A response that is not nil is the
+// RecordReport takes in a report received at now. A response that is not nil is the
 // answer. With nil the caller answers by Answer, after the next step if hold is
 // set: the node is short, and an answer now would tell it nothing. The caller must
 // have found the lease held after it received the report.
-func (c *Core) Take(request *peerpb.RenewRequest, now time.Time) (response *peerpb.RenewResponse, hold bool) {
+func (c *Core) RecordReport(request *peerpb.RenewRequest, now time.Time) (response *peerpb.RenewResponse, hold bool) {
 	if c.lost || request.AppliedEpoch > c.Epoch() {
 		// The node has heard a newer decider: this one was replaced without
 		// noticing.
@@ -54,11 +54,11 @@
 	return nil, request.Short
 }
 
-// Answer answers a report that Take has taken in, at now. The caller must have
+// Respond answers a report that Take has taken in, at now. The caller must have
 // found the lease held after it received the report: the surplus counts from
 // when the node sent it, and so ends within one time to live of the lease
 // however long the answer was held.
-func (c *Core) Answer(request *peerpb.RenewRequest, now time.Time) *peerpb.RenewResponse {
+func (c *Core) Respond(request *peerpb.RenewRequest, now time.Time) *peerpb.RenewResponse {
 	if c.lost {
 		return &peerpb.RenewResponse{Code: uint32(result.NotLeader)}
 	}
--- a/control/decider/renew_test.go
+++ b/control/decider/renew_test.go
@@ -23,10 +23,10 @@
 }
 
 // lastSituation keeps what it is asked.
-type lastSituation struct{ Situation }
+type lastSituation struct{ PlannerInput }
 
-func (l *lastSituation) Plan(s Situation) Planned {
-	l.Situation = s
+func (l *lastSituation) Plan(s PlannerInput) PlannerOutput {
+	l.PlannerInput = s
 	return Nearest{}.Plan(s)
 }
 
@@ -38,7 +38,7 @@
 	entry := store.Entry{Value: old.core.Ledger().Propose(old.now), Revision: 1}
 	var planner lastSituation
 	options := Options{Ledger: ledger.DefaultParams(), Allocate: allocate.DefaultParams(), Planner: &planner, ReportsPerSecond: 1}
-	core, err := Begin(options, old.account, 2, entry, old.now)
+	core, err := NewCore(options, old.account, 2, entry, old.now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,8 +47,8 @@
 	next.step()
 	next.step()
 	silent := nodeOf(old.requests[1].Node).ID
-	if len(planner.Reports) != 1 || len(planner.Unheard) != 1 || planner.Unheard[0] != silent {
-		t.Fatalf("%d reports, unheard %v, want 1 and %v", len(planner.Reports), planner.Unheard, silent)
+	if len(planner.Reports) != 1 || len(planner.UnreportedNodes) != 1 || planner.UnreportedNodes[0] != silent {
+		t.Fatalf("%d reports, unheard %v, want 1 and %v", len(planner.Reports), planner.UnreportedNodes, silent)
 	}
 }
 
--- a/control/decider/reported.go
+++ b/control/decider/reported.go
@@ -176,15 +176,15 @@
 }
 
 // observed returns the last reports, and the nodes that there is none of.
-func (c *Core) observed(now time.Time) (reports []Observed, unheard []grant.NodeID) {
-	reports = make([]Observed, 0, len(c.reports))
+func (c *Core) observed(now time.Time) (reports []NodeReport, unheard []grant.NodeID) {
+	reports = make([]NodeReport, 0, len(c.reports))
 	for _, state := range c.ledger.States(now) {
 		r := c.reports[state.Node.ID]
 		if r == nil {
 			unheard = append(unheard, state.Node.ID)
 			continue
 		}
-		reports = append(reports, Observed{Report: r.report, Age: r.age(now)})
+		reports = append(reports, NodeReport{Report: r.report, Age: r.age(now)})
 	}
 	return reports, unheard
 }
--- a/control/decider/runner.go
+++ b/control/decider/runner.go
@@ -32,17 +32,17 @@
 	Lease   Lease
 	// Configured returns the account in force on this node, nil for none.
 	Configured func() *model.Account
-	// Listed returns the last reading of the VM list, its sequence and age; ok is
+	// VMList returns the last reading of the VM list, its sequence and age; ok is
 	// false while there is none.
-	Listed func() (list []ledger.Listed, sequence uint64, age time.Duration, ok bool)
+	VMList func() (list []ledger.Listed, sequence uint64, age time.Duration, ok bool)
 	// Publish sends a plan to all nodes. It must not wait for them.
 	Publish func(*plan.Plan)
-	// Hasten asks a node to report; it must not wait for the node.
-	Hasten func(node ledger.Node, epoch uint64)
-	// Hurry asks for a call of Relieve soon; it must not block.
-	Hurry  func()
-	Clock  func() time.Time
-	Logger logrus.FieldLogger
+	// HastenNode asks a node to report; it must not wait for the node.
+	HastenNode func(node ledger.Node, epoch uint64)
+	// RequestReallocation asks for a call of Reallocate soon; it must not block.
+	RequestReallocation func()
+	Clock               func() time.Time
+	Logger              logrus.FieldLogger
 	// CallTimeout bounds a call to the store.
 	CallTimeout time.Duration
 }
@@ -92,9 +92,9 @@
 	return r.commit(ctx, func() (Write, bool) { return r.propose(account) })
 }
 
-// Relieve gives what is free to nodes that are short, between two steps. It is
+// Reallocate gives what is free to nodes that are short, between two steps. It is
 // called like Step, and its error means the same.
-func (r *Runner) Relieve(ctx context.Context) error {
+func (r *Runner) Reallocate(ctx context.Context) error {
 	defer close(r.beginStep())
 	epoch, held := r.options.Lease.Held()
 	if !held || !r.deciding(epoch) {
@@ -109,7 +109,7 @@
 	if r.core == nil {
 		return Write{}, false
 	}
-	return r.core.Relieve(r.options.Clock())
+	return r.core.Reallocate(r.options.Clock())
 }
 
 // beginStep returns what is to be closed when the step has ended.
@@ -146,7 +146,7 @@
 		return nil
 	}
 	now := r.options.Clock()
-	core, err := Begin(r.options.Options, account, epoch, entry, now)
+	core, err := NewCore(r.options.Options, account, epoch, entry, now)
 	if err != nil {
 		return err
 	}
@@ -186,11 +186,11 @@
 		r.mu.Unlock()
 		return
 	}
-	nodes := r.core.Hasten(r.options.Clock())
+	nodes := r.core.NodesToHasten(r.options.Clock())
 	epoch := r.core.Epoch()
 	r.mu.Unlock()
 	for _, node := range nodes {
-		r.options.Hasten(node, epoch)
+		r.options.HastenNode(node, epoch)
 	}
 }
 
@@ -206,14 +206,14 @@
 	r.writes++
 	err = r.core.Settle(revision, err)
 	r.mu.Unlock()
-	if errors.Is(err, ErrResolve) {
+	if errors.Is(err, ErrUnresolvedWrite) {
 		return r.resolve(ctx)
 	}
 	return err
 }
 
 func (r *Runner) propose(account *model.Account) (Write, bool) {
-	list, sequence, age, ok := r.options.Listed()
+	list, sequence, age, ok := r.options.VMList()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.core == nil {
@@ -221,7 +221,7 @@
 	}
 	now := r.options.Clock()
 	if ok {
-		r.core.Observe(list, sequence, now.Add(-age))
+		r.core.ObserveVMs(list, sequence, now.Add(-age))
 	}
 	return r.core.Step(account, now)
 }
@@ -245,7 +245,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.core != nil {
-		r.core.Published(r.options.Clock())
+		r.core.MarkPublished(r.options.Clock())
 	}
 }
 
@@ -256,7 +256,7 @@
 	if r.core == nil {
 		return nil
 	}
-	p := r.core.Publish()
+	p := r.core.CommittedPlan()
 	if p == r.published {
 		return nil
 	}
@@ -273,7 +273,7 @@
 	if response != nil {
 		return response
 	}
-	r.options.Hurry()
+	r.options.RequestReallocation()
 	ctx, cancel := context.WithTimeout(ctx, holdTime)
 	defer cancel()
 	select {
@@ -293,14 +293,14 @@
 		return notLeader(), nil
 	}
 	now := r.options.Clock()
-	response, hold := r.core.Take(request, now)
+	response, hold := r.core.RecordReport(request, now)
 	switch {
 	case response != nil:
 		return response, nil
 	case hold:
 		return nil, r.next
 	default:
-		return r.core.Answer(request, now), nil
+		return r.core.Respond(request, now), nil
 	}
 }
 
@@ -312,7 +312,7 @@
 	if !held || r.core == nil || r.core.Epoch() != epoch {
 		return notLeader()
 	}
-	return r.core.Answer(request, r.options.Clock())
+	return r.core.Respond(request, r.options.Clock())
 }
 
 func notLeader() *peerpb.RenewResponse {
@@ -349,7 +349,7 @@
 	s.Nodes = l.Nodes()
 	s.Unlisted = l.Unlisted()
 	s.LedgerBytes = l.Bytes()
-	s.Explanation = r.core.Planned().Explanation
+	s.Explanation = r.core.PlannerOutput().Explanation
 	if err := l.Outstanding(r.options.Clock()).Check(l.Limits()); err != nil {
 		s.Over = err.Error()
 	}
--- a/control/holder/borrow.go
+++ b/control/holder/borrow.go
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	id := grant.NodeID{VM: lender.Vm, Incarnation: lender.Incarnation}
-	if r.core.Borrowed(id, sentAt, response, r.options.Clock()) {
+	if r.core.HandleLoan(id, sentAt, response, r.options.Clock()) {
 		r.options.Apply(r.core.Set())
 	}
 }
--- a/control/holder/core_test.go
+++ b/control/holder/core_test.go
@@ -57,10 +57,10 @@
 // came: the decider may give it to another node as soon as that has passed.
 func TestSurplusCountsFromSending(t *testing.T) {
 	c := newCore("a")
-	sent := c.Request(start)
+	sent := c.StartRequest(start)
 	received := start.Add(2 * time.Second)
 	c.Tick(received)
-	if got := c.Answer(sent, response(1, 1, 100, 50), received); got != Applied {
+	if got := c.HandleResponse(sent, response(1, 1, 100, 50), received); got != Applied {
 		t.Fatalf("outcome %d", got)
 	}
 	ends := start.Add(15 * time.Second)
@@ -79,14 +79,14 @@
 // not look older than the one that the admission has.
 func TestPauseEndsFloors(t *testing.T) {
 	c := newCore("a")
-	c.Answer(c.Request(start), response(3, 9, 100, 0), start)
+	c.HandleResponse(c.StartRequest(start), response(3, 9, 100, 0), start)
 	before := c.Set()
-	sent := c.Request(start)
+	sent := c.StartRequest(start)
 	resumed := start.Add(ledger.DefaultRemovalTime)
 	if got := before.Allowed(key, resumed); got != 0 {
 		t.Fatalf("%d permitted before the first tick", got)
 	}
-	if got := c.Answer(sent, response(3, 10, 100, 0), resumed); got != Late {
+	if got := c.HandleResponse(sent, response(3, 10, 100, 0), resumed); got != Late {
 		t.Fatalf("outcome %d of an answer from before the pause", got)
 	}
 	if !c.Tick(resumed) || before.Newer(c.Set()) {
@@ -96,7 +96,7 @@
 		t.Fatalf("%d permitted after the pause", got)
 	}
 	next := resumed.Add(time.Second)
-	if got := c.Answer(c.Request(next), response(3, 11, 60, 0), next); got != Applied {
+	if got := c.HandleResponse(c.StartRequest(next), response(3, 11, 60, 0), next); got != Applied {
 		t.Fatalf("outcome %d of an answer after the pause", got)
 	}
 }
@@ -104,12 +104,12 @@
 // A paused decider goes on and answers with an older token.
 func TestOlderEpochIsRefused(t *testing.T) {
 	c := newCore("a")
-	c.Answer(c.Request(start), response(5, 1, 100, 0), start)
-	if got := c.Answer(c.Request(start.Add(1)), response(4, 99, 900, 0), start.Add(2)); got != Stale {
+	c.HandleResponse(c.StartRequest(start), response(5, 1, 100, 0), start)
+	if got := c.HandleResponse(c.StartRequest(start.Add(1)), response(4, 99, 900, 0), start.Add(2)); got != Stale {
 		t.Fatalf("outcome %d", got)
 	}
-	c.Saw(6)
-	if got := c.Answer(c.Request(start.Add(3)), response(5, 2, 900, 0), start.Add(4)); got != Stale {
+	c.ObserveEpoch(6)
+	if got := c.HandleResponse(c.StartRequest(start.Add(3)), response(5, 2, 900, 0), start.Add(4)); got != Stale {
 		t.Fatalf("outcome %d after a newer decider was elected", got)
 	}
 }
@@ -119,7 +119,7 @@
 // at the borrower.
 func TestLenderLowersFirst(t *testing.T) {
 	c := newCore("a")
-	c.Answer(c.Request(start), response(1, 1, 1000, 0), start)
+	c.HandleResponse(c.StartRequest(start), response(1, 1, 1000, 0), start)
 	for range 2 {
 		answer, changed := c.Lend(lendRequest("east"), start)
 		if !changed || answer.Code != uint32(result.OK) || answer.Lent[0].Floor != 500 {
@@ -133,7 +133,7 @@
 		t.Fatalf("lent over a link: %v", answer)
 	}
 	b := newCore("b")
-	if !b.Borrowed(grant.NodeID{VM: "a"}, start, mustLend(t, c), start.Add(time.Second)) {
+	if !b.HandleLoan(grant.NodeID{VM: "a"}, start, mustLend(t, c), start.Add(time.Second)) {
 		t.Fatal("loan not taken")
 	}
 	ends := start.Add(ledger.DefaultLoanTTL)
@@ -166,7 +166,7 @@
 	c := newCore("a")
 	named := response(1, 1, 100, 0)
 	named.Grants = append(named.Grants, &peerpb.Grant{Service: "desk", Place: "b"})
-	c.Answer(c.Request(start), named, start)
+	c.HandleResponse(c.StartRequest(start), named, start)
 	h := names.NewHasher()
 	for _, name := range []string{"desk", "a", "desk", "b"} {
 		h.Add(name)
@@ -179,17 +179,17 @@
 		a, b     grant.Amount
 	}{
 		{&peerpb.RenewResponse{GrantKeys: h.Sum(), Floors: []uint64{70, 30}, Surpluses: []uint64{0, 0}}, Applied, 70, 30},
-		{&peerpb.RenewResponse{GrantKeys: h.Sum() + 1, Floors: []uint64{900, 900}, Surpluses: []uint64{0, 0}}, Unnamed, 70, 30},
-		{&peerpb.RenewResponse{GrantKeys: h.Sum(), Floors: []uint64{900}, Surpluses: []uint64{0}}, Unnamed, 70, 30},
+		{&peerpb.RenewResponse{GrantKeys: h.Sum() + 1, Floors: []uint64{900, 900}, Surpluses: []uint64{0, 0}}, UnknownGrantNames, 70, 30},
+		{&peerpb.RenewResponse{GrantKeys: h.Sum(), Floors: []uint64{900}, Surpluses: []uint64{0}}, UnknownGrantNames, 70, 30},
 		{response(1, 0, 50, 0), Applied, 50, 0},
 	} {
 		step.response.Epoch, step.response.Sequence = 1, uint64(i+2)
-		got := c.Answer(c.Request(start), step.response, start)
+		got := c.HandleResponse(c.StartRequest(start), step.response, start)
 		set := c.Set()
 		if got != step.want || set.Allowed(key, start) != step.a || set.Allowed(other, start) != step.b {
 			t.Errorf("answer %d: outcome %d, set %+v", i, got, set.Grants)
 		}
-		if asks := c.Request(start).GrantNames; asks != (got == Unnamed) {
+		if asks := c.StartRequest(start).GrantNames; asks != (got == UnknownGrantNames) {
 			t.Errorf("answer %d: asks for names: %v", i, asks)
 		}
 	}
@@ -199,16 +199,16 @@
 // free what the borrower still uses, so it waits for the loan to end.
 func TestLoanHoldsBackTheAcknowledgement(t *testing.T) {
 	c := newCore("a")
-	c.Answer(c.Request(start), response(1, 1, 1000, 0), start)
+	c.HandleResponse(c.StartRequest(start), response(1, 1, 1000, 0), start)
 	mustLend(t, c)
-	c.Answer(c.Request(start), response(1, 2, 100, 0), start)
-	if sent := c.Request(start); sent.Sequence != 1 {
+	c.HandleResponse(c.StartRequest(start), response(1, 2, 100, 0), start)
+	if sent := c.StartRequest(start); sent.Sequence != 1 {
 		t.Fatalf("acknowledged %d with a loan out", sent.Sequence)
 	}
 	later := start.Add(ledger.DefaultParams().Wait(ledger.DefaultLoanTTL))
 	tickUntil(c, start, later)
 	c.Tick(later)
-	if sent := c.Request(later); sent.Sequence != 2 {
+	if sent := c.StartRequest(later); sent.Sequence != 2 {
 		t.Fatalf("acknowledged %d after the loan", sent.Sequence)
 	}
 }
--- a/control/holder/loan.go
+++ b/control/holder/loan.go
@@ -107,8 +107,8 @@
 	return !c.stopping && !c.HasFloor() && !now.Before(c.surplusExpires)
 }
 
-// Borrowed takes in the answer of a lender to a request sent at sentAt.
-func (c *Core) Borrowed(lender grant.NodeID, sentAt time.Time, response *peerpb.LendResponse, now time.Time) bool {
+// HandleLoan takes in the answer of a lender to a request sent at sentAt.
+func (c *Core) HandleLoan(lender grant.NodeID, sentAt time.Time, response *peerpb.LendResponse, now time.Time) bool {
 	if response.Code != uint32(result.OK) || !c.MayBorrow(now) || !sentAt.After(c.voided) {
 		return false
 	}
--- a/control/holder/report.go
+++ b/control/holder/report.go
@@ -10,26 +10,26 @@
 	"github.com/yuccaroute/yuccaroute/control/internal/names"
 )
 
-// Sent is a request under way: what was acknowledged in it and when it left.
-type Sent struct {
+// SentRequest is a request under way: what was acknowledged in it and when it left.
+type SentRequest struct {
 	At              time.Time
 	Epoch, Sequence uint64
 	// GrantNames tells that it asks for grants with names.
 	GrantNames bool
 }
 
-// Saw notes that a decider of an epoch has been elected. From then on answers
+// ObserveEpoch notes that a decider of an epoch has been elected. From then on answers
 // of older ones are refused, also before the new one has been asked.
-func (c *Core) Saw(epoch uint64) { c.seen = max(c.seen, epoch) }
+func (c *Core) ObserveEpoch(epoch uint64) { c.seen = max(c.seen, epoch) }
 
-// Seen returns the highest epoch heard of.
-func (c *Core) Seen() uint64 { return c.seen }
+// HighestEpoch returns the highest epoch heard of.
+func (c *Core) HighestEpoch() uint64 { return c.seen }
 
-// Request notes that a report is about to be sent at now. The surplus in its
+// StartRequest notes that a report is about to be sent at now. The surplus in its
 // answer counts from now: the decider counts from receiving the report, which
 // is later, so it never takes a surplus for ended that the node still uses.
-func (c *Core) Request(now time.Time) Sent {
-	return Sent{At: now, Epoch: c.acknowledgedEpoch, Sequence: c.acknowledgedSequence, GrantNames: c.unnamed}
+func (c *Core) StartRequest(now time.Time) SentRequest {
+	return SentRequest{At: now, Epoch: c.acknowledgedEpoch, Sequence: c.acknowledgedSequence, GrantNames: c.unnamed}
 }
 
 // Outcome tells what became of an answer.
@@ -47,15 +47,15 @@
 	Late
 	// Stale: the answer is older than what is in force.
 	Stale
-	// Unnamed: the answer relies on names of grants that the node does not have.
+	// UnknownGrantNames: the answer relies on names of grants that the node does not have.
 	// The next request asks for them.
-	Unnamed
+	UnknownGrantNames
 )
 
-// Answer takes in the answer to a request. With Applied, Set returns the new
+// HandleResponse takes in the answer to a request. With Applied, Set returns the new
 // set, and the next request acknowledges it; it must be put in force before
 // that.
-func (c *Core) Answer(sent Sent, response *peerpb.RenewResponse, now time.Time) Outcome {
+func (c *Core) HandleResponse(sent SentRequest, response *peerpb.RenewResponse, now time.Time) Outcome {
 	if response.Code != uint32(result.OK) || c.stopping {
 		return Refused
 	}
@@ -70,7 +70,7 @@
 	}
 	if !c.named(response) {
 		c.unnamed = true
-		return Unnamed
+		return UnknownGrantNames
 	}
 	c.apply(sent, response, now)
 	return Applied
@@ -91,7 +91,7 @@
 
 // late reports whether the answer may rest on a state that is gone: the
 // decider may have removed the node since it sent the answer.
-func (c *Core) late(sent Sent, now time.Time) bool {
+func (c *Core) late(sent SentRequest, now time.Time) bool {
 	if c.options.Params.Faults.KeepFloorsAfterPause || c.options.Params.Faults.TakeLateAnswers {
 		return false
 	}
@@ -114,7 +114,7 @@
 	return response.Epoch == c.epoch && response.Sequence <= c.sequence
 }
 
-func (c *Core) apply(sent Sent, response *peerpb.RenewResponse, now time.Time) {
+func (c *Core) apply(sent SentRequest, response *peerpb.RenewResponse, now time.Time) {
 	if !response.Unchanged {
 		c.grants = c.grantsOf(response)
 	}
--- a/control/holder/rest.go
+++ b/control/holder/rest.go
@@ -8,43 +8,43 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// RestInterval is the time between two reports of a node at rest. With one report
+// SteadyReportInterval is the time between two reports of a node at rest. With one report
 // lost it is still below the time after which a decider takes a node for silent,
 // the time to live of a surplus.
-const RestInterval = 10 * time.Second
+const SteadyReportInterval = 10 * time.Second
 
-// Told is what a node has told its decider: it decides what a report may leave
-// out, and whether one is needed. It does no I/O. The zero Told is that of a node
+// ReportTracker is what a node has told its decider: it decides what a report may leave
+// out, and whether one is needed. It does no I/O. The zero ReportTracker is that of a node
 // that has told nothing.
-type Told struct {
+type ReportTracker struct {
 	brief brief
 	rest  rest
 }
 
-// Shorten leaves out of a request what the decider knows already, and promises
+// OmitKnown leaves out of a request what the decider knows already, and promises
 // the next report if the node may rest by what the set holds for it.
-func (t *Told) Shorten(request *peerpb.RenewRequest, report observe.Report, set *grant.Set, now time.Time) {
+func (t *ReportTracker) OmitKnown(request *peerpb.RenewRequest, report observe.Report, set *grant.Set, now time.Time) {
 	t.brief.shorten(request, report, now)
 	if !request.Short && !request.Leaving && !request.Stopped && covered(report, set) {
-		request.RestMs = uint32(RestInterval.Milliseconds())
+		request.RestMs = uint32(SteadyReportInterval.Milliseconds())
 	}
 }
 
-// Answered notes that the decider has answered a request made at a time.
-func (t *Told) Answered(request *peerpb.RenewRequest, report observe.Report, response *peerpb.RenewResponse, at time.Time) {
+// RecordAnswer notes that the decider has answered a request made at a time.
+func (t *ReportTracker) RecordAnswer(request *peerpb.RenewRequest, report observe.Report, response *peerpb.RenewResponse, at time.Time) {
 	t.brief.answered(request, report, response, at)
 	settled := response.Unchanged && !response.ReportNames && request.RestMs > 0
 	t.rest = rest{epoch: response.Epoch, told: report, settled: settled}
 }
 
-// Unanswered notes that a request had no answer that could be used: the next one
+// Reset notes that a request had no answer that could be used: the next one
 // tells all, with all words.
-func (t *Told) Unanswered() { *t = Told{} }
+func (t *ReportTracker) Reset() { *t = ReportTracker{} }
 
-// Enough reports whether a node with a set in force has nothing to tell. recent is
+// UpToDate reports whether a node with a set in force has nothing to tell. recent is
 // what it measured in the last round, whole since its last report: what changes by
 // much shows in the one, what changes by little in the other.
-func (t *Told) Enough(recent, whole observe.Report, set *grant.Set) bool {
+func (t *ReportTracker) UpToDate(recent, whole observe.Report, set *grant.Set) bool {
 	return t.rest.may(set) && t.rest.same(recent) && t.rest.same(whole)
 }
 
--- a/control/holder/rest_test.go
+++ b/control/holder/rest_test.go
@@ -76,11 +76,11 @@
 					(*change)(r)
 				}
 			}
-			var n Told
+			var n ReportTracker
 			request := NewRequest(told)
-			n.Shorten(request, told, floors(floor), start)
-			n.Answered(request, told, response, start)
-			if got := n.Enough(recent, whole, floors(floor)); got != c.want {
+			n.OmitKnown(request, told, floors(floor), start)
+			n.RecordAnswer(request, told, response, start)
+			if got := n.UpToDate(recent, whole, floors(floor)); got != c.want {
 				t.Errorf("nothing to tell: %v", got)
 			}
 		})
--- a/control/holder/runner.go
+++ b/control/holder/runner.go
@@ -26,11 +26,11 @@
 	// Decider returns where the decider of the account was last seen, and its
 	// epoch.
 	Decider func() (ref *peerpb.NodeRef, epoch uint64, ok bool)
-	// Relays are the nodes that may pass reports on, from RelayFromNodes nodes on;
+	// Relays are the nodes that may pass reports on, from RelayMinFleet nodes on;
 	// nil means that all reports go directly. Pass hands one to a relay.
-	Relays         func() relay.Members
-	RelayFromNodes int
-	Pass           func(ctx context.Context, relay *peerpb.NodeRef, request *peerpb.PassRequest) (*peerpb.RenewResponse, error)
+	Relays        func() relay.Members
+	RelayMinFleet int
+	SendViaRelay  func(ctx context.Context, relay *peerpb.NodeRef, request *peerpb.PassRequest) (*peerpb.RenewResponse, error)
 	// Lenders returns the other nodes of the region, in the order to ask.
 	Lenders func() []*peerpb.NodeRef
 	// Apply puts a set in force before it returns.
@@ -62,13 +62,13 @@
 	// renewed is when the last report that was answered was sent.
 	renewed time.Time
 	// route chooses the way of reports, nil for always directly.
-	route *relay.Route
+	route *relay.Selector
 	// unanswered is since when no report has been answered, zero while the last
 	// one was.
 	unanswered time.Time
 	// told is what the decider knows; hastened tells that the node is to report
 	// though it has nothing to tell, because its grants are to change.
-	told     Told
+	told     ReportTracker
 	hastened bool
 	// urgent tells that the next report should not wait at a relay; repeat that one
 	// out of turn is to be made again, because its relay failed.
@@ -101,11 +101,11 @@
 		random:  rand.New(rand.NewPCG(node.Incarnation, xxhash.Sum64String(node.VM))),
 	}
 	if options.Relays != nil {
-		r.route = relay.NewRoute(relay.RouteOptions{
-			Account:   options.Account,
-			FromNodes: options.RelayFromNodes,
-			Members:   options.Relays,
-			Random:    r.random,
+		r.route = relay.NewSelector(relay.SelectorOptions{
+			Account:  options.Account,
+			MinFleet: options.RelayMinFleet,
+			Members:  options.Relays,
+			Random:   r.random,
 		})
 	}
 	return r
@@ -139,7 +139,7 @@
 	}
 	set := r.core.Set()
 	renewed := known && decider > set.Epoch
-	if !r.hastened && !renewed && now.Before(r.restDue) && r.told.Enough(recent, whole, set) {
+	if !r.hastened && !renewed && now.Before(r.restDue) && r.told.UpToDate(recent, whole, set) {
 		return false
 	}
 	r.turn++
@@ -157,13 +157,13 @@
 	}
 }
 
-// Short notes that requests wait for more than the node has. wake tells that a
+// SignalShortage notes that requests wait for more than the node has. wake tells that a
 // report out of turn is due for it; DueEarly must be called then.
 //
 // Guard against a storm of reports while there is no capacity left: after one
 // out of turn the node waits for the interval of its regular reports before the
 // next, so that no node sends more than twice its regular reports.
-func (r *Runner) Short() (wake bool) {
+func (r *Runner) SignalShortage() (wake bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.short || r.options.Clock().Before(r.shortAfter) {
@@ -252,19 +252,19 @@
 }
 
 // note notes what became of a report.
-func (r *Runner) note(request *peerpb.RenewRequest, report observe.Report, sent Sent, response *peerpb.RenewResponse, ok bool) {
+func (r *Runner) note(request *peerpb.RenewRequest, report observe.Report, sent SentRequest, response *peerpb.RenewResponse, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !ok {
-		r.told.Unanswered()
+		r.told.Reset()
 		if r.unanswered.IsZero() {
 			r.unanswered = sent.At
 		}
 		return
 	}
 	r.unanswered = time.Time{}
-	r.told.Answered(request, report, response, sent.At)
-	r.restDue = sent.At.Add(r.jitter(max(RestInterval, r.interval)))
+	r.told.RecordAnswer(request, report, response, sent.At)
+	r.restDue = sent.At.Add(r.jitter(max(SteadyReportInterval, r.interval)))
 }
 
 func (r *Runner) begin() (turn uint64) {
@@ -284,7 +284,7 @@
 	}
 }
 
-func (r *Runner) request(report observe.Report, leaving bool) (*peerpb.RenewRequest, Sent) {
+func (r *Runner) request(report observe.Report, leaving bool) (*peerpb.RenewRequest, SentRequest) {
 	_, decider, known := r.options.Decider()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -294,10 +294,10 @@
 	r.tellsShort = false
 	r.urgent = r.urgent || r.hastened || short || leaving || r.heard.IsZero()
 	r.hastened = false
-	sent := r.core.Request(now)
+	sent := r.core.StartRequest(now)
 	if known && decider > sent.Epoch {
 		// A new decider has been told nothing.
-		r.told.Unanswered()
+		r.told.Reset()
 	}
 	request := NewRequest(report)
 	request.Node = r.options.Ref
@@ -312,7 +312,7 @@
 		r.short = false
 		r.shortAfter = now.Add(r.jitter(max(r.interval, time.Second)))
 	}
-	r.told.Shorten(request, report, r.core.Set(), now)
+	r.told.OmitKnown(request, report, r.core.Set(), now)
 	return request, sent
 }
 
@@ -321,12 +321,12 @@
 	return time.Duration(float64(d) * (1 - jitterShare*r.random.Float64()))
 }
 
-func (r *Runner) answer(sent Sent, response *peerpb.RenewResponse) (lowered, ok bool) {
+func (r *Runner) answer(sent SentRequest, response *peerpb.RenewResponse) (lowered, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
 	before := r.core.Set()
-	outcome := r.core.Answer(sent, response, now)
+	outcome := r.core.HandleResponse(sent, response, now)
 	if outcome != Applied {
 		r.refused++
 		r.hint = response.Decider
--- a/control/holder/runner_test.go
+++ b/control/holder/runner_test.go
@@ -68,7 +68,7 @@
 		if early && !r.DueEarly() || !early && !r.Due(observe.Report{}, observe.Report{}) {
 			t.Fatal("no report is due")
 		}
-		r.Short()
+		r.SignalShortage()
 		r.Report(t.Context(), observe.Report{}, false)
 		if decider.last.Short != early {
 			t.Errorf("out of turn %v: short %v", early, decider.last.Short)
--- a/control/holder/way.go
+++ b/control/holder/way.go
@@ -26,9 +26,9 @@
 	w := way{decider: decider, urgent: r.urgent}
 	r.urgent = false
 	if ok {
-		r.core.Saw(epoch)
+		r.core.ObserveEpoch(epoch)
 	}
-	w.epoch = r.core.Seen()
+	w.epoch = r.core.HighestEpoch()
 	if r.route != nil && decider != nil && decider.Vm != r.options.Ref.Vm && !request.Stopped {
 		w.relay, w.timeout = r.route.Next(r.options.Clock())
 	}
@@ -45,7 +45,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ok {
-		r.core.Saw(epoch)
+		r.core.ObserveEpoch(epoch)
 	}
 	return way{decider: r.takeHint(decider)}
 }
@@ -69,7 +69,7 @@
 	if w.relay != nil {
 		ctx, cancel := context.WithTimeout(ctx, w.timeout)
 		defer cancel()
-		return r.options.Pass(ctx, w.relay, &peerpb.PassRequest{Report: request, Urgent: w.urgent, DeciderEpoch: w.epoch})
+		return r.options.SendViaRelay(ctx, w.relay, &peerpb.PassRequest{Report: request, Urgent: w.urgent, DeciderEpoch: w.epoch})
 	}
 	conn, err := r.options.Dial(w.decider.PeerAddress)
 	if err != nil {
@@ -96,16 +96,16 @@
 		return
 	}
 	if ok {
-		r.route.Answered()
+		r.route.RecordAnswer()
 		return
 	}
 	if w.relay == nil {
 		return
 	}
 	now := r.options.Clock()
-	r.due = now.Add(r.route.Failed(w.relay, r.renewed, now))
+	r.due = now.Add(r.route.RecordFailure(w.relay, r.renewed, now))
 	if request.Short {
-		r.route.Directly(now)
+		r.route.ForceDirect(now)
 		r.tellsShort, r.repeat = true, true
 	}
 }
--- a/control/members.go
+++ b/control/members.go
@@ -61,7 +61,7 @@
 		refs[vm.ID] = &peerpb.NodeRef{Vm: vm.ID, PeerAddress: vm.Peer.String(), Region: string(vm.Region)}
 	}
 	var ordered []*peerpb.NodeRef
-	for _, name := range campaign.Order(s.options.Node.VM, names) {
+	for _, name := range campaign.RankOrder(s.options.Node.VM, names) {
 		ordered = append(ordered, refs[name])
 	}
 	return ordered
--- a/control/modelcheck/message_test.go
+++ b/control/modelcheck/message_test.go
@@ -21,7 +21,7 @@
 type renewCall struct {
 	request *peerpb.RenewRequest
 	report  observe.Report
-	sent    holder.Sent
+	sent    holder.SentRequest
 }
 
 // send puts a message under way. Most arrive soon, some late, some never.
--- a/control/modelcheck/process_test.go
+++ b/control/modelcheck/process_test.go
@@ -30,7 +30,7 @@
 	// deaf cuts it off from the deciders, but not from other nodes.
 	deaf   bool
 	holder *holder.Core
-	told   holder.Told
+	told   holder.ReportTracker
 	// asked is the report under way.
 	asked    *renewCall
 	askedAt  time.Time
@@ -91,7 +91,7 @@
 func (p *process) learn() {
 	if p.w.chance(20) && p.w.published.epoch > p.known.epoch {
 		p.known = p.w.published
-		p.holder.Saw(p.known.epoch)
+		p.holder.ObserveEpoch(p.known.epoch)
 	}
 	if p.w.chance(3) && p.configured < len(p.w.accounts)-1 {
 		p.configured++
@@ -125,7 +125,7 @@
 func (p *process) observe() {
 	if p.core != nil {
 		shown := p.w.lists[p.list]
-		p.core.Observe(shown.vms, shown.sequence, p.local())
+		p.core.ObserveVMs(shown.vms, shown.sequence, p.local())
 	}
 }
 
@@ -134,7 +134,7 @@
 	now := p.local()
 	if p.asked != nil && (now.Sub(p.askedAt) >= p.w.holderOptions.RequestTimeout || p.w.chance(impatientPercent)) {
 		p.asked = nil
-		p.told.Unanswered()
+		p.told.Reset()
 		p.borrow()
 	}
 	if p.asked != nil || now.Before(p.nextAsk) {
@@ -152,14 +152,14 @@
 		p.borrow()
 		return
 	}
-	sent := p.holder.Request(now)
+	sent := p.holder.StartRequest(now)
 	report := p.measured()
 	request := holder.NewRequest(report)
 	request.Node = p.ref
 	request.AppliedEpoch, request.AppliedSequence, request.GrantNames = sent.Epoch, sent.Sequence, sent.GrantNames
 	request.Stopped = p.holder.Stopped(now)
 	request.Short = p.w.chance(shortPercent)
-	p.told.Shorten(request, report, p.holder.Set(), now)
+	p.told.OmitKnown(request, report, p.holder.Set(), now)
 	call := &renewCall{sent: sent, request: request, report: report}
 	p.asked = call
 	p.askedAt = now
@@ -183,7 +183,7 @@
 	if !p.held() || p.core == nil || p.core.Epoch() != p.epoch {
 		return
 	}
-	response, hold := p.core.Take(call.request, p.local())
+	response, hold := p.core.RecordReport(call.request, p.local())
 	switch {
 	case response != nil:
 		p.reply(from, call, response)
@@ -191,7 +191,7 @@
 		p.waiting = append(p.waiting, waiter{p.core, from, call})
 		p.relieve()
 	default:
-		p.reply(from, call, p.core.Answer(call.request, p.local()))
+		p.reply(from, call, p.core.Respond(call.request, p.local()))
 	}
 }
 
@@ -202,7 +202,7 @@
 // relieve decides out of turn.
 func (p *process) relieve() {
 	if !p.calling {
-		p.stepped(p.core.Relieve(p.local()))
+		p.stepped(p.core.Reallocate(p.local()))
 	}
 }
 
@@ -221,7 +221,7 @@
 	p.waiting = nil
 	for _, w := range waiting {
 		if p.held() && p.core == w.core && p.core.Epoch() == p.epoch {
-			p.reply(w.from, w.call, w.core.Answer(w.call.request, p.local()))
+			p.reply(w.from, w.call, w.core.Respond(w.call.request, p.local()))
 		}
 	}
 }
@@ -231,11 +231,11 @@
 	if p.asked == call {
 		p.asked = nil
 	}
-	if p.holder.Answer(call.sent, response, p.local()) != holder.Applied {
-		p.told.Unanswered()
+	if p.holder.HandleResponse(call.sent, response, p.local()) != holder.Applied {
+		p.told.Reset()
 		return
 	}
-	p.told.Answered(call.request, call.report, response, call.sent.At)
+	p.told.RecordAnswer(call.request, call.report, response, call.sent.At)
 	p.transfer = 0
 	if response.Epoch < p.epochSeen {
 		p.w.fail("%s applied epoch %d after %d", p.id.VM, response.Epoch, p.epochSeen)
@@ -264,7 +264,7 @@
 	}
 	p.w.send(p, lender, func() {
 		response, _ := lender.holder.Lend(request, lender.local())
-		p.w.send(lender, p, func() { p.holder.Borrowed(lender.id, now, response, p.local()) })
+		p.w.send(lender, p, func() { p.holder.HandleLoan(lender.id, now, response, p.local()) })
 	})
 }
 
@@ -348,7 +348,7 @@
 
 // hasten asks nodes to report.
 func (p *process) hasten() {
-	for _, node := range p.core.Hasten(p.local()) {
+	for _, node := range p.core.NodesToHasten(p.local()) {
 		for _, to := range p.w.processes {
 			if to.id == node.ID {
 				p.w.send(p, to, func() { to.nextAsk = to.local() })
@@ -366,7 +366,7 @@
 		entry := w.kv.ledger
 		return func() {
 			done()
-			core, err := decider.Begin(w.deciderOptions, p.account(), epoch, entry, p.local())
+			core, err := decider.NewCore(w.deciderOptions, p.account(), epoch, entry, p.local())
 			if err != nil {
 				p.giveUp()
 				return
@@ -396,7 +396,7 @@
 	switch p.core.Settle(revisionOf(revision), err) {
 	case nil:
 		p.answerWaiting()
-	case decider.ErrResolve:
+	case decider.ErrUnresolvedWrite:
 		p.resolve(core)
 	default:
 		p.giveUp()
@@ -425,12 +425,12 @@
 
 // publish gives a plan out, if the lease is held.
 func (p *process) publish(core *decider.Core) {
-	plan := core.Publish()
+	plan := core.CommittedPlan()
 	if plan == nil || !p.held() {
 		return
 	}
 	p.w.planned(plan)
-	core.Published(p.local())
+	core.MarkPublished(p.local())
 }
 
 // allowed is what its admission would permit now.
--- a/control/modelcheck/wanderer_test.go
+++ b/control/modelcheck/wanderer_test.go
@@ -12,8 +12,8 @@
 // and is held only by the cap. It keeps the cap over the moves it is told of.
 type wanderer struct{}
 
-func (wanderer) Plan(s decider.Situation) decider.Planned {
-	var planned decider.Planned
+func (wanderer) Plan(s decider.PlannerInput) decider.PlannerOutput {
+	var planned decider.PlannerOutput
 	for _, r := range s.Account.Regions {
 		planned.Flows = append(planned.Flows, plan.Flow{
 			Service: service,
@@ -36,7 +36,7 @@
 
 // budget is what the cap leaves of the window, its length stretched by the
 // margin for clock rates.
-func budget(s decider.Situation, f *plan.Flow) uint32 {
+func budget(s decider.PlannerInput, f *plan.Flow) uint32 {
 	window := ledger.DefaultParams().Wait(s.Account.Moves.Window)
 	left := int64(s.Account.Moves.Share * plan.Whole)
 	for _, m := range s.Moves {
@@ -50,7 +50,7 @@
 const period = 2 * time.Minute
 
 // wander moves towards one place and then the other.
-func wander(f *plan.Flow, budget uint32, now time.Time, planned *decider.Planned) {
+func wander(f *plan.Flow, budget uint32, now time.Time, planned *decider.PlannerOutput) {
 	to, from := 0, 1
 	if now.UnixNano()/int64(period)%2 == 0 {
 		to, from = 1, 0
--- a/control/relay.go
+++ b/control/relay.go
@@ -31,11 +31,11 @@
 	if a == nil {
 		return &peerpb.BatchResponse{Code: uint32(result.UnknownAccount)}, nil
 	}
-	return relay.Answer(ctx, request, s.system.renewOf(a)), nil
+	return relay.AnswerBatch(ctx, request, s.system.renewOf(a)), nil
 }
 
 // renewOf answers a report of an account as its decider.
-func (s *System) renewOf(a *account) relay.Renew {
+func (s *System) renewOf(a *account) relay.RenewFunc {
 	return func(ctx context.Context, request *peerpb.RenewRequest) *peerpb.RenewResponse {
 		response := a.decider.Renew(ctx, request)
 		if response.Code == uint32(result.NotLeader) {
@@ -47,11 +47,11 @@
 
 func (s *System) relayOptions() relay.Options {
 	return relay.Options{
-		Decider:  s.deciderOf,
-		Dial:     s.options.Dial,
-		Fleet:    func() int { return s.relays.members().Fleet },
-		Refusing: s.options.Leaving,
-		Clock:    s.options.Clock,
+		Decider:   s.deciderOf,
+		Dial:      s.options.Dial,
+		FleetSize: func() int { return s.relays.members().FleetSize },
+		Stopping:  s.options.Leaving,
+		Clock:     s.options.Clock,
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.kept.Fleet == 0 || list.Epoch != r.of.Epoch || list.Sequence != r.of.Sequence {
+	if r.kept.FleetSize == 0 || list.Epoch != r.of.Epoch || list.Sequence != r.of.Sequence {
 		r.of = list
 		r.kept = r.choose(list)
 	}
@@ -111,7 +111,7 @@
 		if vm.Role != membership.RoleEntry || vm.State != membership.StateLive {
 			continue
 		}
-		members.Fleet++
+		members.FleetSize++
 		if string(vm.Region) == own.Region && string(vm.Place) == own.Place {
 			members.Domain = append(members.Domain, &peerpb.NodeRef{Vm: vm.ID, PeerAddress: vm.Peer.String()})
 		}
--- a/control/relay/batch.go
+++ b/control/relay/batch.go
@@ -8,13 +8,13 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// Renew answers one report as the decider of its account.
-type Renew func(ctx context.Context, report *peerpb.RenewRequest) *peerpb.RenewResponse
+// RenewFunc answers one report as the decider of its account.
+type RenewFunc func(ctx context.Context, report *peerpb.RenewRequest) *peerpb.RenewResponse
 
-// Answer answers a batch at the decider: each report by itself, in the order of
+// AnswerBatch answers a batch at the decider: each report by itself, in the order of
 // the batch, as if its node had sent it. The answers to nodes that are short are
 // held by renew, so these are asked for beside the others.
-func Answer(ctx context.Context, batch *peerpb.BatchRequest, renew Renew) *peerpb.BatchResponse {
+func AnswerBatch(ctx context.Context, batch *peerpb.BatchRequest, renew RenewFunc) *peerpb.BatchResponse {
 	if len(batch.Reports) == 0 || len(batch.Reports) > maxHeld {
 		return &peerpb.BatchResponse{Code: uint32(result.BadRequest)}
 	}
--- a/control/relay/bench_test.go
+++ b/control/relay/bench_test.go
@@ -27,7 +27,7 @@
 }
 
 func (d *benchDecider) Batch(ctx context.Context, batch *peerpb.BatchRequest) (*peerpb.BatchResponse, error) {
-	return Answer(ctx, batch, func(context.Context, *peerpb.RenewRequest) *peerpb.RenewResponse { return d.answer() }), nil
+	return AnswerBatch(ctx, batch, func(context.Context, *peerpb.RenewRequest) *peerpb.RenewResponse { return d.answer() }), nil
 }
 
 func (d *benchDecider) answer() *peerpb.RenewResponse {
@@ -106,7 +106,7 @@
 				if c.size == 1 {
 					_, err = peerpb.NewControlClient(conn).Renew(b.Context(), reports[0])
 				} else {
-					_, err = peerpb.NewRelayClient(conn).Batch(b.Context(), Fold("daehan", reports))
+					_, err = peerpb.NewRelayClient(conn).Batch(b.Context(), EncodeBatch("daehan", reports))
 				}
 				if err != nil {
 					b.Fatal(err)
--- a/control/relay/fold.go
+++ b/control/relay/fold.go
@@ -6,9 +6,9 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// Fold makes a batch of the reports of one account. What they have in common
+// EncodeBatch makes a batch of the reports of one account. What they have in common
 // stands in it once; see peerpb.BatchRequest. The reports are not changed.
-func Fold(account string, reports []*peerpb.RenewRequest) *peerpb.BatchRequest {
+func EncodeBatch(account string, reports []*peerpb.RenewRequest) *peerpb.BatchRequest {
 	batch := &peerpb.BatchRequest{
 		Account:      account,
 		Region:       sameName(reports, func(r *peerpb.RenewRequest) string { return r.Node.GetRegion() }),
@@ -65,8 +65,8 @@
 	return batch
 }
 
-// UnfoldAnswers returns the answers of a batch as they were, using its messages.
-func UnfoldAnswers(batch *peerpb.BatchResponse) []*peerpb.RenewResponse {
+// DecodeAnswers returns the answers of a batch as they were, using its messages.
+func DecodeAnswers(batch *peerpb.BatchResponse) []*peerpb.RenewResponse {
 	crossAnswers(batch)
 	return batch.Answers
 }
--- a/control/relay/gathering.go
+++ b/control/relay/gathering.go
@@ -64,7 +64,7 @@
 		g.budget.spend(now)
 		go g.send(q)
 	case !q.armed:
-		g.arm(q, Hold(g.relay.options.Fleet()))
+		g.arm(q, HoldTime(g.relay.options.FleetSize()))
 	}
 	return true
 }
@@ -108,7 +108,7 @@
 	all := q.held
 	q.held = nil
 	g.mu.Unlock()
-	oldest := g.relay.options.Clock().Add(-Timeout(g.relay.options.Fleet()))
+	oldest := g.relay.options.Clock().Add(-NodeTimeout(g.relay.options.FleetSize()))
 	var fresh []*held
 	for _, h := range all {
 		if h.ctx.Err() != nil || h.at.Before(oldest) {
@@ -142,12 +142,12 @@
 	g.relay.counts.passed.Add(uint64(len(batch)))
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	response, err := peerpb.NewRelayClient(conn).Batch(ctx, Fold(string(g.account), reports))
+	response, err := peerpb.NewRelayClient(conn).Batch(ctx, EncodeBatch(string(g.account), reports))
 	if err != nil {
 		return nil, err
 	}
 	if response.Code != uint32(result.OK) || len(response.Answers) != len(batch) {
 		return nil, status.Errorf(codes.Unavailable, "relay: decider refused the batch, code %d", response.Code)
 	}
-	return UnfoldAnswers(response), nil
+	return DecodeAnswers(response), nil
 }
--- a/control/relay/relay.go
+++ b/control/relay/relay.go
@@ -4,8 +4,8 @@
 // beyond that and decides nothing: to the protocol of grants it is a part of the
 // network that delays messages and may lose them.
 //
-// Relay is the relay's side, Route the choice of a relay on the reporting node, and
-// Answer the decider's side. Fold and UnfoldAnswers are the form of a batch.
+// Relay is the relay side, Selector the choice of a relay on the reporting node, and
+// AnswerBatch the decider side. EncodeBatch and DecodeAnswers convert the batch format.
 package relay
 
 import (
@@ -30,10 +30,10 @@
 	Decider func(model.AccountName) (ref *peerpb.NodeRef, epoch uint64, ok bool)
 	// Dial returns a connection to another node; it keeps it for later calls.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// Fleet counts the live entry VMs.
-	Fleet func() int
-	// Refusing reports whether this node is in a planned stop.
-	Refusing func() bool
+	// FleetSize counts the live entry VMs.
+	FleetSize func() int
+	// Stopping reports whether this node is in a planned stop.
+	Stopping func() bool
 	// Clock is a monotonic clock that goes on while the VM is suspended.
 	Clock func() time.Time
 }
@@ -86,7 +86,7 @@
 	}
 	account := model.AccountName(request.Report.Account)
 	_, epoch, ok := r.options.Decider(account)
-	if !ok || epoch < request.DeciderEpoch || r.options.Refusing() {
+	if !ok || epoch < request.DeciderEpoch || r.options.Stopping() {
 		return &peerpb.RenewResponse{Code: uint32(result.NotLeader)}, nil
 	}
 	h := &held{ctx: ctx, report: request.Report, at: r.options.Clock(), answer: make(chan *peerpb.RenewResponse, 1)}
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -39,10 +39,10 @@
 		Decider: func(model.AccountName) (*peerpb.NodeRef, uint64, bool) {
 			return &peerpb.NodeRef{Vm: "decider"}, 5, true
 		},
-		Dial:     func(string) (grpc.ClientConnInterface, error) { return w, nil },
-		Fleet:    func() int { return 100 },
-		Refusing: func() bool { return false },
-		Clock:    func() time.Time { return time.Now().Add(time.Duration(w.skipped.Load())) },
+		Dial:      func(string) (grpc.ClientConnInterface, error) { return w, nil },
+		FleetSize: func() int { return 100 },
+		Stopping:  func() bool { return false },
+		Clock:     func() time.Time { return time.Now().Add(time.Duration(w.skipped.Load())) },
 	})
 	return w
 }
@@ -53,7 +53,7 @@
 	w.mu.Lock()
 	w.batches = append(w.batches, proto.CloneOf(batch))
 	w.mu.Unlock()
-	response := Answer(ctx, batch, func(_ context.Context, report *peerpb.RenewRequest) *peerpb.RenewResponse {
+	response := AnswerBatch(ctx, batch, func(_ context.Context, report *peerpb.RenewRequest) *peerpb.RenewResponse {
 		if report.Short {
 			time.Sleep(w.hold)
 		}
@@ -194,7 +194,7 @@
 			}
 		})
 	}
-	if code := Answer(t.Context(), &peerpb.BatchRequest{}, nil).Code; code != uint32(result.BadRequest) {
+	if code := AnswerBatch(t.Context(), &peerpb.BatchRequest{}, nil).Code; code != uint32(result.BadRequest) {
 		t.Errorf("an empty batch is answered with %d", code)
 	}
 }
@@ -216,7 +216,7 @@
 				Epoch: random.Uint64N(3), NextMs: random.Uint32N(2), SurplusTtlMs: random.Uint32N(3), Code: random.Uint32N(2),
 			})
 		}
-		batch := Fold("daehan", reports)
+		batch := EncodeBatch("daehan", reports)
 		folded := proto.Size(batch)
 		if diff := cmp.Diff(reports, unfold(batch), protocmp.Transform()); diff != "" {
 			t.Fatal(diff)
@@ -228,7 +228,7 @@
 		for i, a := range answers {
 			want[i] = proto.CloneOf(a)
 		}
-		if diff := cmp.Diff(want, UnfoldAnswers(foldAnswers(answers)), protocmp.Transform()); diff != "" {
+		if diff := cmp.Diff(want, DecodeAnswers(foldAnswers(answers)), protocmp.Transform()); diff != "" {
 			t.Fatal(diff)
 		}
 	}
--- a/control/relay/route.go
+++ b/control/relay/route.go
@@ -22,54 +22,54 @@
 
 // Members are the live nodes as the VM list shows them.
 type Members struct {
-	// Fleet counts all, Domain are those of the node's own failure domain.
-	Fleet  int
-	Domain []*peerpb.NodeRef
+	// FleetSize counts all, Domain are those of the node's own failure domain.
+	FleetSize int
+	Domain    []*peerpb.NodeRef
 }
 
-// RouteOptions configures a Route.
-type RouteOptions struct {
+// SelectorOptions configures a Route.
+type SelectorOptions struct {
 	Account model.AccountName
-	// FromNodes is from how many nodes on relays are used, 0 for never.
-	FromNodes int
-	Members   func() Members
-	Random    *rand.Rand
+	// MinFleet is from how many nodes on relays are used, 0 for never.
+	MinFleet int
+	Members  func() Members
+	Random   *rand.Rand
 }
 
-// Route chooses by which way a node's reports of one account go: by the relay of
+// Selector chooses by which way a node's reports of one account go: by the relay of
 // its failure domain, the first of the domain's nodes in an order that rendezvous
 // hashing gives, or directly to the decider. It is not safe for use by several
 // goroutines.
-type Route struct {
-	options RouteOptions
+type Selector struct {
+	options SelectorOptions
 	// avoided holds until when a VM is not asked.
 	avoided map[string]time.Time
 	// direct is when the next report goes directly, zero for no such time.
 	direct time.Time
 }
 
-// NewRoute returns a route on which no relay has failed.
-func NewRoute(options RouteOptions) *Route {
-	return &Route{options: options, avoided: make(map[string]time.Time)}
+// NewSelector returns a route on which no relay has failed.
+func NewSelector(options SelectorOptions) *Selector {
+	return &Selector{options: options, avoided: make(map[string]time.Time)}
 }
 
 // Next returns the relay for a report at now and how long to wait for it; nil means
 // that the report goes directly to the decider.
-func (r *Route) Next(now time.Time) (relay *peerpb.NodeRef, timeout time.Duration) {
+func (r *Selector) Next(now time.Time) (relay *peerpb.NodeRef, timeout time.Duration) {
 	members := r.options.Members()
-	if r.options.FromNodes <= 0 || members.Fleet < r.options.FromNodes || len(members.Domain) < LeastDomain {
+	if r.options.MinFleet <= 0 || members.FleetSize < r.options.MinFleet || len(members.Domain) < MinDomainNodes {
 		return nil, 0
 	}
 	if !r.direct.IsZero() && !now.Before(r.direct) {
 		r.direct = time.Time{}
 		return nil, 0
 	}
-	return r.pick(members.Domain, now), Timeout(members.Fleet)
+	return r.pick(members.Domain, now), NodeTimeout(members.FleetSize)
 }
 
 // pick returns the first relay that did not fail lately. When all did it is the one
 // that failed first.
-func (r *Route) pick(domain []*peerpb.NodeRef, now time.Time) *peerpb.NodeRef {
+func (r *Selector) pick(domain []*peerpb.NodeRef, now time.Time) *peerpb.NodeRef {
 	refs := make(map[string]*peerpb.NodeRef, len(domain))
 	names := make([]string, 0, len(domain))
 	for _, ref := range domain {
@@ -77,7 +77,7 @@
 		names = append(names, ref.Vm)
 	}
 	var earliest string
-	for _, name := range campaign.Order(orderName(r.options.Account), names) {
+	for _, name := range campaign.RankOrder(orderName(r.options.Account), names) {
 		until := r.avoided[name]
 		if !until.After(now) {
 			return refs[name]
@@ -92,7 +92,7 @@
 // orderName makes the order of relays another one than that of deciders.
 func orderName(account model.AccountName) string { return "relay/" + string(account) }
 
-// Failed notes that a relay gave no answer that could be used, and returns after
+// RecordFailure notes that a relay gave no answer that could be used, and returns after
 // what time the node is to report directly. answered is when the last report was
 // sent that was answered, zero for none.
 //
@@ -100,10 +100,10 @@
 // or all relays of a domain: the direct reports are spread by chance, so that the
 // whole fleet sends directPerSecond in the mean. The next report after the direct
 // one goes to the next relay.
-func (r *Route) Failed(relay *peerpb.NodeRef, answered, now time.Time) time.Duration {
+func (r *Selector) RecordFailure(relay *peerpb.NodeRef, answered, now time.Time) time.Duration {
 	r.forget(now)
 	r.avoided[relay.Vm] = now.Add(avoidFor)
-	window := time.Duration(r.options.Members().Fleet) * time.Second / directPerSecond
+	window := time.Duration(r.options.Members().FleetSize) * time.Second / directPerSecond
 	if !answered.IsZero() {
 		window = max(0, min(window, answered.Add(directWithin).Sub(now)))
 	}
@@ -112,7 +112,7 @@
 	return delay
 }
 
-func (r *Route) forget(now time.Time) {
+func (r *Selector) forget(now time.Time) {
 	for vm, until := range r.avoided {
 		if !until.After(now) {
 			delete(r.avoided, vm)
@@ -120,8 +120,8 @@
 	}
 }
 
-// Directly makes the next report go directly.
-func (r *Route) Directly(now time.Time) { r.direct = now }
+// ForceDirect makes the next report go directly.
+func (r *Selector) ForceDirect(now time.Time) { r.direct = now }
 
-// Answered notes that a report was answered, so that none is needed directly.
-func (r *Route) Answered() { r.direct = time.Time{} }
+// RecordAnswer notes that a report was answered, so that none is needed directly.
+func (r *Selector) RecordAnswer() { r.direct = time.Time{} }
--- a/control/relay/route_test.go
+++ b/control/relay/route_test.go
@@ -20,10 +20,10 @@
 	return refs
 }
 
-func newRoute(fleet, inDomain int, seed uint64) *Route {
-	members := Members{Fleet: fleet, Domain: domain(inDomain)}
-	return NewRoute(RouteOptions{
-		Account: "daehan", FromNodes: fromNodes, Random: rand.New(rand.NewPCG(seed, 0)),
+func newRoute(fleet, inDomain int, seed uint64) *Selector {
+	members := Members{FleetSize: fleet, Domain: domain(inDomain)}
+	return NewSelector(SelectorOptions{
+		Account: "daehan", MinFleet: fromNodes, Random: rand.New(rand.NewPCG(seed, 0)),
 		Members: func() Members { return members },
 	})
 }
@@ -35,8 +35,8 @@
 		fleet, inDomain int
 		relay           bool
 	}{
-		{10, 5, false}, {fromNodes - 1, 8, false}, {550, LeastDomain - 1, false},
-		{fromNodes, LeastDomain, true}, {550, 32, true},
+		{10, 5, false}, {fromNodes - 1, 8, false}, {550, MinDomainNodes - 1, false},
+		{fromNodes, MinDomainNodes, true}, {550, 32, true},
 	} {
 		if via, _ := newRoute(c.fleet, c.inDomain, 1).Next(time.Now()); (via != nil) != c.relay {
 			t.Errorf("%+v: relay %v", c, via)
@@ -70,7 +70,7 @@
 			via, timeout := r.Next(now)
 			for via != nil {
 				now = now.Add(timeout)
-				now = now.Add(r.Failed(via, answered, now))
+				now = now.Add(r.RecordFailure(via, answered, now))
 				via, timeout = r.Next(now)
 			}
 			if wait := now.Sub(answered); wait > lasts {
@@ -95,7 +95,7 @@
 	for n := range 32 {
 		r := newRoute(550, 32, uint64(n))
 		first, _ := r.Next(now)
-		delay := r.Failed(first, now, now)
+		delay := r.RecordFailure(first, now, now)
 		if via, _ := r.Next(now.Add(delay)); via != nil {
 			t.Fatal("the report after the failure does not go directly")
 		}
--- a/control/relay/times.go
+++ b/control/relay/times.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// LeastDomain is how many live nodes a failure domain must have for a relay
+	// MinDomainNodes is how many live nodes a failure domain must have for a relay
 	// to save calls.
-	LeastDomain = 4
+	MinDomainNodes = 4
 	// largeFleet is from how many nodes on reports are held for longer: each node
 	// then reports every two seconds or more seldom.
 	largeFleet = 400
@@ -21,17 +21,17 @@
 	maxHeld = 256
 )
 
-// Hold is how long a relay holds a report at most, in a fleet of so many nodes.
-func Hold(fleet int) time.Duration {
+// HoldTime is how long a relay holds a report at most, in a fleet of so many nodes.
+func HoldTime(fleet int) time.Duration {
 	if fleet >= largeFleet {
 		return longHold
 	}
 	return shortHold
 }
 
-// Timeout is how long a node waits for its relay, so long that the relay can tell
+// NodeTimeout is how long a node waits for its relay, so long that the relay can tell
 // that the decider did not answer. It is below the time after which a node takes
 // no answer, 3 s.
-func Timeout(fleet int) time.Duration {
-	return max(Hold(fleet)+deciderTimeout, urgentEvery+shortTimeout) + slack
+func NodeTimeout(fleet int) time.Duration {
+	return max(HoldTime(fleet)+deciderTimeout, urgentEvery+shortTimeout) + slack
 }
--- a/control/relay_test.go
+++ b/control/relay_test.go
@@ -32,7 +32,7 @@
 				names = append(names, m.ref.Vm)
 			}
 		}
-		relay = nodes[campaign.Order("relay/daehan", names)[0]]
+		relay = nodes[campaign.RankOrder("relay/daehan", names)[0]]
 		if relay.ref.Vm == decider.Vm {
 			continue
 		}
--- a/control/system.go
+++ b/control/system.go
@@ -133,7 +133,7 @@
 // does not block.
 func (s *System) Short(name model.AccountName) {
 	a := s.account(name)
-	if a == nil || !a.holder.Short() {
+	if a == nil || !a.holder.SignalShortage() {
 		return
 	}
 	select {
--- a/steering/planner/fleet_test.go
+++ b/steering/planner/fleet_test.go
@@ -126,16 +126,16 @@
 }
 
 // situation is what the present decider knows.
-func (f *fleet) situation() *decider.Situation {
-	s := &decider.Situation{
-		Account:  &model.Account{Moves: fleetLimits, Services: []model.Service{{Name: "desk"}}},
-		Previous: f.given,
-		Moves:    f.moves,
-		Now:      f.now,
-		Since:    f.since,
+func (f *fleet) situation() *decider.PlannerInput {
+	s := &decider.PlannerInput{
+		Account:   &model.Account{Moves: fleetLimits, Services: []model.Service{{Name: "desk"}}},
+		Previous:  f.given,
+		Moves:     f.moves,
+		Now:       f.now,
+		TermStart: f.since,
 	}
 	if f.tellsGrants {
-		s.Permitted = func(id grant.NodeID, _ model.ServiceName) float64 {
+		s.PermittedRPS = func(id grant.NodeID, _ model.ServiceName) float64 {
 			for _, n := range slices.Concat(f.ended, f.nodes) {
 				if n.life == id.Incarnation {
 					return n.permitted(f.now)
@@ -144,19 +144,19 @@
 			return 0
 		}
 	}
-	var known []decider.Observed
+	var known []decider.NodeReport
 	for i, n := range f.nodes {
 		n.report.Node = grant.NodeID{VM: fmt.Sprint("vm", i), Incarnation: n.life}
-		known = append(known, decider.Observed{Report: n.report, Age: f.now.Sub(n.reported)})
+		known = append(known, decider.NodeReport{Report: n.report, Age: f.now.Sub(n.reported)})
 	}
 	for _, n := range f.ended {
 		if f.now.Sub(n.end) < removal {
-			known = append(known, decider.Observed{Report: n.report, Age: f.now.Sub(n.reported)})
+			known = append(known, decider.NodeReport{Report: n.report, Age: f.now.Sub(n.reported)})
 		}
 	}
 	for _, o := range known {
 		if o.Age > f.now.Sub(f.since) {
-			s.Unheard = append(s.Unheard, o.Report.Node)
+			s.UnreportedNodes = append(s.UnreportedNodes, o.Report.Node)
 			continue
 		}
 		s.Reports = append(s.Reports, o)
--- a/steering/planner/planner.go
+++ b/steering/planner/planner.go
@@ -46,17 +46,17 @@
 }
 
 // Plan implements decider.Planner. The Explanation is a steering.Decision.
-func (p *Planner) Plan(s decider.Situation) decider.Planned {
+func (p *Planner) Plan(s decider.PlannerInput) decider.PlannerOutput {
 	in := p.input(&s)
 	d := steering.Decide(in)
-	return decider.Planned{
+	return decider.PlannerOutput{
 		Flows:       d.Plan.Flows,
 		Moves:       ledgerMoves(d.Moves),
 		Explanation: d,
 	}
 }
 
-func (p *Planner) input(s *decider.Situation) steering.Input {
+func (p *Planner) input(s *decider.PlannerInput) steering.Input {
 	in := steering.Input{
 		Account:  s.Account,
 		Now:      s.Now,
@@ -72,7 +72,7 @@
 	defer a.mu.Unlock()
 	in.Demand, in.Places = a.aggregator.Read(s.Account, reports, in.Moved, s.Now)
 	in.Behind = a.positions.read(s)
-	if s.Now.Sub(s.Since) < settling {
+	if s.Now.Sub(s.TermStart) < settling {
 		// The first reports after a change of decider are a part of the
 		// demand only. Taken for all of it, they would make full places look
 		// empty; unknown demand moves nothing.
--- a/steering/planner/planner_test.go
+++ b/steering/planner/planner_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
 
-func situation(now time.Time) decider.Situation {
+func situation(now time.Time) decider.PlannerInput {
 	account := &model.Account{
 		Name:     "daehan",
 		Moves:    model.MoveLimits{Share: 0.1, Window: time.Minute},
@@ -28,12 +28,12 @@
 		report.Places = append(report.Places, observe.PlaceLoad{Service: "desk", Place: place, SentRPS: 400, Targets: 4, Known: 4})
 	}
 	report.Places[0].Targets = 0
-	return decider.Situation{
-		Account:  account,
-		Reports:  []decider.Observed{{Report: report, Age: time.Second}},
-		Previous: &plan.Plan{Flows: []plan.Flow{{Service: "desk", Caller: "seoul", Shares: []plan.Share{{Place: "a", PPM: 500_000}, {Place: "b", PPM: 500_000}}}}},
-		Now:      now,
-		Since:    start,
+	return decider.PlannerInput{
+		Account:   account,
+		Reports:   []decider.NodeReport{{Report: report, Age: time.Second}},
+		Previous:  &plan.Plan{Flows: []plan.Flow{{Service: "desk", Caller: "seoul", Shares: []plan.Share{{Place: "a", PPM: 500_000}, {Place: "b", PPM: 500_000}}}}},
+		Now:       now,
+		TermStart: start,
 	}
 }
 
@@ -124,7 +124,7 @@
 }
 
 // raised sums the share increases.
-func raised(planned decider.Planned) int32 {
+func raised(planned decider.PlannerOutput) int32 {
 	sum := int32(0)
 	for _, m := range planned.Moves {
 		sum += max(m.Delta, 0)
--- a/steering/planner/positions.go
+++ b/steering/planner/positions.go
@@ -86,7 +86,7 @@
 
 // read takes in the last plan and reports, and returns what is charged to each
 // flow for nodes out of step with the plan.
-func (p *positions) read(s *decider.Situation) []steering.Behind {
+func (p *positions) read(s *decider.PlannerInput) []steering.Behind {
 	window, now := s.Account.Moves.Window, s.Now
 	p.trail.add(s.Previous, s.Moves, positionMemory+window, now)
 	rates := sumRates(s.Reports)
@@ -107,12 +107,12 @@
 
 // missing takes in nodes that have not reported to this decider. They may be at
 // any plan of the one before.
-func (p *positions) missing(s *decider.Situation) {
-	since := s.Now.Sub(s.Since)
+func (p *positions) missing(s *decider.PlannerInput) {
+	since := s.Now.Sub(s.TermStart)
 	if since < settling || since > positionMemory {
 		return
 	}
-	for _, id := range s.Unheard {
+	for _, id := range s.UnreportedNodes {
 		n := p.node(id)
 		n.seen = s.Now
 		if len(n.reached) == 0 {
@@ -135,7 +135,7 @@
 
 // sumRates sums the flows over the nodes heard lately. Callers who went from a
 // silent node to others would count twice with its last report.
-func sumRates(reports []decider.Observed) map[flowKey]float64 {
+func sumRates(reports []decider.NodeReport) map[flowKey]float64 {
 	rates := make(map[flowKey]float64)
 	for i := range reports {
 		if reports[i].Age > freshReport {
@@ -148,7 +148,7 @@
 	return rates
 }
 
-func (p *positions) report(o *decider.Observed, rates map[flowKey]float64, window time.Duration, now time.Time) {
+func (p *positions) report(o *decider.NodeReport, rates map[flowKey]float64, window time.Duration, now time.Time) {
 	if o.Age > positionMemory {
 		return
 	}
@@ -210,8 +210,8 @@
 
 // permit notes what the node's grants let it send. Callers above a grant that
 // ended lately may have gone elsewhere within the window.
-func (n *position) permit(id grant.NodeID, s *decider.Situation) {
-	if s.Permitted == nil {
+func (n *position) permit(id grant.NodeID, s *decider.PlannerInput) {
+	if s.PermittedRPS == nil {
 		return
 	}
 	for i := range s.Account.Services {
@@ -219,7 +219,7 @@
 		if n.permitted[service] == nil {
 			n.permitted[service] = &highest{}
 		}
-		n.permitted[service].add(s.Permitted(id, service), s.Account.Moves.Window, s.Now)
+		n.permitted[service].add(s.PermittedRPS(id, service), s.Account.Moves.Window, s.Now)
 	}
 }
 
--- a/steering/planner/positions_bench_test.go
+++ b/steering/planner/positions_bench_test.go
@@ -47,19 +47,19 @@
 
 func benchPositions(b *testing.B, nodes, lagging int) {
 	p := newPositions()
-	s := &decider.Situation{
+	s := &decider.PlannerInput{
 		Account: &model.Account{
 			Services: []model.Service{{Name: "desk"}},
 			Moves:    model.MoveLimits{Share: 0.1, Window: 30 * time.Second},
 		},
-		Permitted: func(grant.NodeID, model.ServiceName) float64 { return 100 },
-		Now:       start,
-		Since:     start,
+		PermittedRPS: func(grant.NodeID, model.ServiceName) float64 { return 100 },
+		Now:          start,
+		TermStart:    start,
 	}
 	for n := range nodes {
 		r := observe.Report{Node: grant.NodeID{VM: fmt.Sprint(n)}, PlanEpoch: 1, PlanSequence: 1}
 		r.Flows = []observe.FlowDemand{{Service: "desk", Caller: model.RegionName(fmt.Sprint("region-", n%benchFlows)), OfferedRPS: 100}}
-		s.Reports = append(s.Reports, decider.Observed{Report: r, Age: time.Second})
+		s.Reports = append(s.Reports, decider.NodeReport{Report: r, Age: time.Second})
 	}
 	second := func() {
 		s.Now = s.Now.Add(time.Second)
