--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -21,8 +21,8 @@
 	// fieldVersion is on a delegated request: the version of the configuration by which
 	// the sender matched it.
 	fieldVersion = "Yucca-Delegated-Version"
-	// fieldTook is on an owner's answer: the milliseconds that it took itself.
-	fieldTook = "Yucca-Delegated-Took-Ms"
+	// fieldOwnerMillis is on an owner's answer: the milliseconds that it took itself.
+	fieldOwnerMillis = "Yucca-Delegated-Took-Ms"
 	// fieldDeclined is on the answer of an owner that did not take the request.
 	fieldDeclined = "Yucca-Declined"
 )
@@ -30,8 +30,8 @@
 const (
 	// ownerConnections bounds the connections to one owner.
 	ownerConnections = 64
-	// ownerDelay is the network's within a failure domain, there and back.
-	ownerDelay = 2 * time.Millisecond
+	// ownerRTT is the network's within a failure domain, there and back.
+	ownerRTT = 2 * time.Millisecond
 )
 
 // IsDelegated reports whether a request between VMs is one of a caller.
@@ -48,21 +48,21 @@
 	version, err := strconv.ParseUint(in.Header.Get(fieldVersion), 10, 64)
 	table := g.table.Load()
 	if err != nil || table == nil || table.Version != version || g.leaving.Load() {
-		return declined()
+		return declinedAnswer()
 	}
 	in.Header.Del(fieldVersion)
-	j := &job{in: in, id: in.Header.Get(g.options.Fields.RequestID), forOther: true}
-	end := g.handle(ctx, j, table)
-	g.record(j, end)
+	r := &request{in: in, id: in.Header.Get(g.options.Fields.RequestID), fromPeer: true}
+	end := g.handle(ctx, r, table)
+	g.record(r, end)
 	a := g.answer(end)
 	if a != nil {
 		a.Header[result.HeaderResult] = []string{strconv.Itoa(int(end.code))}
-		a.Header[fieldTook] = []string{strconv.FormatInt(time.Since(in.Arrived).Milliseconds(), 10)}
+		a.Header[fieldOwnerMillis] = []string{strconv.FormatInt(time.Since(in.Arrived).Milliseconds(), 10)}
 	}
 	return a
 }
 
-func declined() *serve.Answer {
+func declinedAnswer() *serve.Answer {
 	a := serve.Plain(http.StatusServiceUnavailable, "")
 	a.Header[fieldDeclined] = []string{"1"}
 	return a
@@ -70,11 +70,11 @@
 
 // ownerOf returns the VM that decides on a request, nil for this one. Large bodies stay:
 // the links of the VMs are narrow.
-func (g *Gateway) ownerOf(j *job) *owners.Owner {
-	if j.forOther || j.onTrial || !j.ask.HasKey || j.ask.Large || g.options.Owners == nil {
+func (g *Gateway) ownerOf(r *request) *owners.Owner {
+	if r.fromPeer || r.onTrial || !r.placement.HasKey || r.placement.Large || g.options.Owners == nil {
 		return nil
 	}
-	return g.options.Owners.Lookup(j.ask.Key, j.in.Arrived)
+	return g.options.Owners.Lookup(r.placement.Key, r.in.Arrived)
 }
 
 // delegate has the owner of its key decide on a request. It returns false if this VM
@@ -83,56 +83,56 @@
 // Guard against an owner that dies or is cut off with the request: callers would wait
 // until their deadline. An owner that is unresponsive ends the wait for requests that may
 // run twice; for others the outcome is unknown, and is told as such.
-func (g *Gateway) delegate(ctx context.Context, j *job, o *owners.Owner) (outcome, bool) {
+func (g *Gateway) delegate(ctx context.Context, r *request, o *owners.Owner) (outcome, bool) {
 	began := time.Now()
-	answer, err := g.askOwner(ctx, j, o)
+	answer, err := g.sendToOwner(ctx, r, o)
 	took := time.Since(began)
-	g.options.Metrics.RequestDelegated(endOfDelegation(answer, err))
+	g.options.Metrics.RequestDelegated(delegationResult(answer, err))
 	if err != nil {
-		g.options.Logger.WithError(err).WithField("id", j.id).WithField("owner", o.Name).
+		g.options.Logger.WithError(err).WithField("id", r.id).WithField("owner", o.Name).
 			WithField("ms", took.Milliseconds()).Warn("gateway: owner did not answer")
-		return g.ownerFailed(ctx, j, o, err)
+		return g.handleOwnerFailure(ctx, r, o, err)
 	}
 	if answer.Header.Get(fieldDeclined) != "" {
 		return outcome{}, false
 	}
-	j.log.owner, j.log.ownerTook = o.Name, took
-	if own, ok := ownTime(answer); ok {
+	r.log.owner, r.log.ownerDuration = o.Name, took
+	if own, ok := ownerTime(answer); ok {
 		o.RecordOverhead(took-own, time.Now())
 	}
 	return delegatedOutcome(answer), true
 }
 
-// ownerFailed decides what comes of a request whose owner did not answer, as delegate does.
-func (g *Gateway) ownerFailed(ctx context.Context, j *job, o *owners.Owner, err error) (outcome, bool) {
+// handleOwnerFailure decides what comes of a request whose owner did not answer, as delegate does.
+func (g *Gateway) handleOwnerFailure(ctx context.Context, r *request, o *owners.Owner, err error) (outcome, bool) {
 	var failed *forward.Error
 	notSent := !errors.As(err, &failed) || failed.NotRun()
-	j.mayHaveRun = !notSent
+	r.mayHaveRun = !notSent
 	now := time.Now()
 	switch {
 	case ctx.Err() != nil:
-		return g.givenUp(ctx, j), true
-	case !now.Before(j.deadline):
+		return g.contextOutcome(ctx, r), true
+	case !now.Before(r.deadline):
 		// The connection's own deadline may end the wait just before the context does.
-		return timeOver(j), true
+		return deadlineOutcome(r), true
 	}
 	o.Avoid(now)
 	if notSent {
 		return outcome{}, false
 	}
-	if j.route.Kind != site.Idempotent || !g.budgetOf(j.service).Take() {
-		return outcome{code: result.ConnectionLost, why: "owner lost"}, true
+	if r.route.Kind != site.Idempotent || !g.budgetOf(r.service).Take() {
+		return outcome{code: result.ConnectionLost, reason: "owner lost"}, true
 	}
 	// The owner may have sent it to a target, so that one more sending is left.
-	j.sent = max(1, j.route.MaxAttempts-1)
+	r.attempts = max(1, r.route.MaxAttempts-1)
 	return outcome{}, false
 }
 
-// askOwner sends a request to its owner.
-func (g *Gateway) askOwner(ctx context.Context, j *job, o *owners.Owner) (*forward.Answer, error) {
+// sendToOwner sends a request to its owner.
+func (g *Gateway) sendToOwner(ctx context.Context, r *request, o *owners.Owner) (*forward.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if j.route.Kind == site.Idempotent {
+	if r.route.Kind == site.Idempotent {
 		stop := context.AfterFunc(o.Context(), cancel)
 		defer stop()
 	}
@@ -142,9 +142,9 @@
 		return nil, err
 	}
 	defer p.Put(conn)
-	out := j.out
-	out.Header = j.out.Header.Clone()
-	out.Header.Set(fieldVersion, strconv.FormatUint(j.version, 10))
+	out := r.out
+	out.Header = r.out.Header.Clone()
+	out.Header.Set(fieldVersion, strconv.FormatUint(r.version, 10))
 	return conn.Exchange(ctx, &out)
 }
 
@@ -154,7 +154,7 @@
 	defer g.mu.Unlock()
 	p := g.ownerPools[o.PeerAddress]
 	if p == nil {
-		p = pool.New(o.PeerAddress, g.options.Dial(ownerDelay), ownerConnections)
+		p = pool.New(o.PeerAddress, g.options.Dial(ownerRTT), ownerConnections)
 		g.ownerPools[o.PeerAddress] = p
 	}
 	return p
@@ -170,18 +170,18 @@
 		// The answer is a target's own, with none of the VM's fields.
 		a.Header.Del(result.HeaderResult)
 	}
-	a.Header.Del(fieldTook)
+	a.Header.Del(fieldOwnerMillis)
 	return outcome{code: code, answer: a}
 }
 
-// ownTime is how long an owner took itself for its answer, if it says so.
-func ownTime(a *forward.Answer) (time.Duration, bool) {
-	millis, err := strconv.ParseInt(a.Header.Get(fieldTook), 10, 64)
+// ownerTime is how long an owner took itself for its answer, if it says so.
+func ownerTime(a *forward.Answer) (time.Duration, bool) {
+	millis, err := strconv.ParseInt(a.Header.Get(fieldOwnerMillis), 10, 64)
 	return time.Duration(millis) * time.Millisecond, err == nil
 }
 
-// endOfDelegation names how a delegation ended, for the counters.
-func endOfDelegation(a *forward.Answer, err error) string {
+// delegationResult names how a delegation ended, for the counters.
+func delegationResult(a *forward.Answer, err error) string {
 	switch {
 	case err != nil:
 		return "failed"
--- a/edge/gateway/delegate_test.go
+++ b/edge/gateway/delegate_test.go
@@ -18,8 +18,8 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// ownedByOthers has three other VMs at one address own most keys.
-func (f *fixture) ownedByOthers(peer string) {
+// setOwners has three other VMs at one address own most keys.
+func (f *fixture) setOwners(peer string) {
 	var vms []site.VM
 	for _, name := range []string{"b", "c", "d"} {
 		vms = append(vms, site.VM{Name: name, PeerAddress: peer})
@@ -27,15 +27,15 @@
 	f.options.Owners.SetVMs(vms, func(site.VM) bool { return true })
 }
 
-// otherKey is a key that another VM owns.
-func (f *fixture) otherKey(t *testing.T) string {
+// peerKey is a key that another VM owns.
+func (f *fixture) peerKey(t *testing.T) string {
 	t.Helper()
 	for i := range 100 {
 		key := fmt.Sprint("key", i)
-		j := &job{in: f.keyed("GET", "/safe/x", "0", key, time.Second, "")}
-		j.route = f.table.Load().Match(j.in.Host, j.in.Path)
-		f.prepare(j)
-		if f.ownerOf(j) != nil {
+		r := &request{in: f.keyedRequest("GET", "/safe/x", "0", key, time.Second, "")}
+		r.route = f.table.Load().Match(r.in.Host, r.in.Path)
+		f.prepare(r)
+		if f.ownerOf(r) != nil {
 			return key
 		}
 	}
@@ -43,15 +43,15 @@
 	return ""
 }
 
-func (f *fixture) keyed(method, path, id, key string, deadline time.Duration, body string) *serve.Request {
+func (f *fixture) keyedRequest(method, path, id, key string, deadline time.Duration, body string) *serve.Request {
 	return &serve.Request{
 		Method: method, Target: path, Path: path, Host: "h:80", Body: []byte(body), Arrived: time.Now(),
 		Header: http.Header{"X-Id": {id}, "X-Object": {key}, "X-Deadline": {fmt.Sprint(deadline.Milliseconds())}},
 	}
 }
 
-// listenForOthers serves the requests that other VMs pass on.
-func (f *fixture) listenForOthers(t *testing.T) string {
+// servePeers serves the requests that other VMs pass on.
+func (f *fixture) servePeers(t *testing.T) string {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -77,8 +77,8 @@
 		return ok(w, r, body)
 	})
 	asked, owner := newGateway(t, s), newGateway(t, s)
-	asked.ownedByOthers(owner.listenForOthers(t))
-	a := asked.Handle(context.Background(), asked.keyed("POST", "/once/x", "7", asked.otherKey(t), time.Second, "order"))
+	asked.setOwners(owner.servePeers(t))
+	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", asked.peerKey(t), time.Second, "order"))
 	if a.Status != http.StatusOK || string(a.Body) != "done" || a.Header.Get("X-Stamp") != "s" || a.Header.Get("X-Id") != "7" {
 		t.Fatalf("%d %q %v", a.Status, a.Body, a.Header)
 	}
@@ -92,16 +92,16 @@
 	if s.count() != 1 || s.bodies[0] != "order" {
 		t.Errorf("%d requests, bodies %v", s.count(), s.bodies)
 	}
-	if !strings.Contains(asked.written(), "gateway: request delegated") || !strings.Contains(owner.written(), "gateway: request ended") {
-		t.Errorf("logs of the VM that was asked %s, of the owner %s", asked.written(), owner.written())
+	if !strings.Contains(asked.logText(), "gateway: request delegated") || !strings.Contains(owner.logText(), "gateway: request ended") {
+		t.Errorf("logs of the VM that was asked %s, of the owner %s", asked.logText(), owner.logText())
 	}
 }
 
 // An owner refuses a request for want of slots. The caller gets that refusal with its time.
 func TestRefusalOfTheOwnerReachesTheCaller(t *testing.T) {
 	asked, owner := newGateway(t, startTarget(t, "a", ok)), newGateway(t, startTarget(t, "a", shed))
-	asked.ownedByOthers(owner.listenForOthers(t))
-	a := asked.Handle(context.Background(), asked.keyed("POST", "/once/x", "7", asked.otherKey(t), time.Second, ""))
+	asked.setOwners(owner.servePeers(t))
+	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", asked.peerKey(t), time.Second, ""))
 	if a.Status != http.StatusServiceUnavailable || a.Header.Get("Retry-After") == "" {
 		t.Errorf("%d %v", a.Status, a.Header)
 	}
@@ -112,20 +112,20 @@
 func TestOwnerAtAnotherVersionDeclines(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked, owner := newGateway(t, s), newGateway(t, s)
-	asked.ownedByOthers(owner.listenForOthers(t))
-	key := asked.otherKey(t)
+	asked.setOwners(owner.servePeers(t))
+	key := asked.peerKey(t)
 	owner.SetView(&catalog.View{Config: &site.Config{Version: 4}}, time.Now())
-	a := asked.Handle(context.Background(), asked.keyed("GET", "/safe/x", "7", key, time.Second, ""))
+	a := asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "7", key, time.Second, ""))
 	if a.Status != http.StatusOK || s.count() != 1 {
 		t.Errorf("%d, %d requests at the target", a.Status, s.count())
 	}
-	if strings.Contains(asked.written(), "request delegated") {
+	if strings.Contains(asked.logText(), "request delegated") {
 		t.Error("an owner at another version decided")
 	}
 }
 
-// peerOf is a peer that treats each connection by a function.
-func peerOf(t *testing.T, treat func(net.Conn)) string {
+// startPeer is a peer that treats each connection by a function.
+func startPeer(t *testing.T, handle func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -138,7 +138,7 @@
 			if err != nil {
 				return
 			}
-			go treat(c)
+			go handle(c)
 		}
 	}()
 	return l.Addr().String()
@@ -149,20 +149,20 @@
 func TestOwnerThatDiesWithARequest(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked := newGateway(t, s)
-	asked.ownedByOthers(peerOf(t, func(c net.Conn) {
+	asked.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		c.Close()
 	}))
-	key := asked.otherKey(t)
-	a := asked.Handle(context.Background(), asked.keyed("POST", "/once/x", "7", key, time.Second, ""))
+	key := asked.peerKey(t)
+	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", key, time.Second, ""))
 	if a.Status != http.StatusBadGateway || s.count() != 0 {
 		t.Errorf("order: %d, %d requests at the target", a.Status, s.count())
 	}
-	asked.ownedByOthers(peerOf(t, func(c net.Conn) {
+	asked.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		c.Close()
 	}))
-	a = asked.Handle(context.Background(), asked.keyed("GET", "/safe/x", "8", asked.otherKey(t), time.Second, ""))
+	a = asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "8", asked.peerKey(t), time.Second, ""))
 	if a.Status != http.StatusOK || s.count() != 1 {
 		t.Errorf("look-up: %d, %d requests at the target", a.Status, s.count())
 	}
@@ -177,11 +177,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked.ownedByOthers(l.Addr().String())
+	asked.setOwners(l.Addr().String())
 	l.Close()
-	key := asked.otherKey(t)
+	key := asked.peerKey(t)
 	for i := range 3 {
-		a := asked.Handle(context.Background(), asked.keyed("POST", "/once/x", fmt.Sprint(i), key, time.Second, ""))
+		a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", fmt.Sprint(i), key, time.Second, ""))
 		if a.Status != http.StatusOK || s.count() != i+1 {
 			t.Errorf("%d, %d requests at the target", a.Status, s.count())
 		}
@@ -194,30 +194,30 @@
 	s := startTarget(t, "a", ok)
 	asked := newGateway(t, s)
 	arrived := make(chan struct{}, 2)
-	asked.ownedByOthers(peerOf(t, func(c net.Conn) {
+	asked.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		arrived <- struct{}{}
 		// The connection stays open until the other side closes it.
 		_, _ = io.Copy(io.Discard, c)
 	}))
-	key := asked.otherKey(t)
+	key := asked.peerKey(t)
 	answers := make(chan *serve.Answer, 1)
 	go func() {
-		answers <- asked.Handle(context.Background(), asked.keyed("GET", "/safe/x", "7", key, time.Minute, ""))
+		answers <- asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "7", key, time.Minute, ""))
 	}()
 	<-arrived
 	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
 	if a := <-answers; a.Status != http.StatusOK || s.count() != 1 {
 		t.Errorf("look-up: %d, %d requests at the target", a.Status, s.count())
 	}
-	asked.ownedByOthers(peerOf(t, func(c net.Conn) {
+	asked.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		arrived <- struct{}{}
 		// The connection stays open until the other side closes it.
 		_, _ = io.Copy(io.Discard, c)
 	}))
 	go func() {
-		answers <- asked.Handle(context.Background(), asked.keyed("POST", "/once/x", "8", asked.otherKey(t), 300*time.Millisecond, ""))
+		answers <- asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "8", asked.peerKey(t), 300*time.Millisecond, ""))
 	}()
 	<-arrived
 	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
--- a/edge/gateway/dial.go
+++ b/edge/gateway/dial.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// connectSlack is how long a connection may take beyond its round trips: a
+	// connectMargin is how long a connection may take beyond its round trips: a
 	// busy target takes a millisecond, a first lost packet a second.
-	connectSlack = 250 * time.Millisecond
-	// unackedSlack is how long sent bytes may stay without an acknowledgement. A
+	connectMargin = 250 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay without an acknowledgement. A
 	// target without power gives none; three lost packets in a row take 600 ms.
-	unackedSlack = 900 * time.Millisecond
+	unackedTimeout = 900 * time.Millisecond
 )
 
 // dialer opens connections to targets at a network delay there and back.
 func dialer(delay time.Duration) pool.Dial {
 	d := net.Dialer{
-		Timeout:   connectSlack + 2*delay,
+		Timeout:   connectMargin + 2*delay,
 		KeepAlive: -1,
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			control := raw.Control(func(fd uintptr) {
-				millis := int((unackedSlack + 2*delay).Milliseconds())
+				millis := int((unackedTimeout + 2*delay).Milliseconds())
 				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, millis)
 			})
 			if control != nil {
--- a/edge/gateway/ended.go
+++ b/edge/gateway/ended.go
@@ -15,66 +15,66 @@
 	"github.com/yuccaroute/yuccaroute/proxy/pool"
 )
 
-// endCheckAfter is how long after a lost connection its target is looked at: a process that ends
+// targetCheckDelay is how long after a lost connection its target is looked at: a process that ends
 // closes its connections one after the other, and its listener among them.
-const endCheckAfter = 20 * time.Millisecond
+const targetCheckDelay = 20 * time.Millisecond
 
 // fingerprint is what the request is known by when it is repeated.
-func (g *Gateway) fingerprint(j *job) quarantine.Fingerprint {
-	if j.fingerprint == nil {
+func (g *Gateway) fingerprint(r *request) quarantine.Fingerprint {
+	if r.fingerprint == nil {
 		f := quarantine.FingerprintOf(quarantine.Content{
-			Method: j.in.Method, Host: j.in.Host, Target: j.in.Target,
-			Account:       j.in.Header.Get(g.options.Fields.Account),
-			Authorization: j.in.Header.Get("Authorization"),
-			Body:          j.in.Body,
+			Method: r.in.Method, Host: r.in.Host, Target: r.in.Target,
+			Account:       r.in.Header.Get(g.options.Fields.Account),
+			Authorization: r.in.Header.Get("Authorization"),
+			Body:          r.in.Body,
 		})
-		j.fingerprint = &f
+		r.fingerprint = &f
 	}
-	return *j.fingerprint
+	return *r.fingerprint
 }
 
-// noteUnanswered remembers a request that a target may have begun and did not answer, and looks
+// recordUnanswered remembers a request that a target may have begun and did not answer, and looks
 // whether the target has ended.
-func (g *Gateway) noteUnanswered(j *job, t try) {
-	target := t.decision.Target
+func (g *Gateway) recordUnanswered(r *request, a attempt) {
+	target := a.decision.Target
 	key := poolKey(&target.Target)
 	switch {
-	case t.answer != nil:
-	case t.code == result.ConnectionLost || t.code == result.AnswerTruncated:
-		if g.losses.addLost(key, g.lostRequest(j)) {
-			go g.lookAt(target, key)
+	case a.answer != nil:
+	case a.code == result.ConnectionLost || a.code == result.AnswerTruncated:
+		if g.losses.addLost(key, g.lostRequest(r)) {
+			go g.checkTarget(target, key)
 		}
-	case t.code == result.DeadlineAfterSend || t.code == result.CallerGone:
-		g.losses.addAbandoned(key, g.lostRequest(j))
-	case errors.Is(t.err, syscall.ECONNREFUSED):
-		g.noteEnd(target, key, nil, t.err)
+	case a.code == result.DeadlineAfterSend || a.code == result.CallerGone:
+		g.losses.addAbandoned(key, g.lostRequest(r))
+	case errors.Is(a.err, syscall.ECONNREFUSED):
+		g.recordTargetCheck(target, key, nil, a.err)
 	}
 }
 
 // lostRequest is a request that a target did not answer, which its log line tells too.
-func (g *Gateway) lostRequest(j *job) lostRequest {
-	j.log.unanswered = true
-	return lostRequest{id: j.id, fingerprint: g.fingerprint(j), at: time.Now()}
+func (g *Gateway) lostRequest(r *request) lostRequest {
+	r.log.unanswered = true
+	return lostRequest{id: r.id, fingerprint: g.fingerprint(r), lostAt: time.Now()}
 }
 
-// lookAt connects to a target that has lost requests, once for all that it lost at the same
+// checkTarget connects to a target that has lost requests, once for all that it lost at the same
 // time. One that has ended refuses: a connection that was only reset, or whose answer was lost,
 // does not, and a target without power does not answer.
-func (g *Gateway) lookAt(t *placing.Target, key string) {
+func (g *Gateway) checkTarget(t *placing.Target, key string) {
 	ctx := context.Background()
-	wait.For(ctx, endCheckAfter)
+	wait.For(ctx, targetCheckDelay)
 	lost := g.losses.takeLost(key)
 	p := g.poolOf(t)
 	conn, err := p.Get(ctx)
 	if err == nil {
 		p.Put(conn)
 	}
-	g.noteEnd(t, key, lost, err)
+	g.recordTargetCheck(t, key, lost, err)
 }
 
-// noteEnd takes in how a target was found that lost requests: err is that of connecting to it.
+// recordTargetCheck takes in how a target was found that lost requests: err is that of connecting to it.
 // If it has ended without a plan, what it had is counted against the requests.
-func (g *Gateway) noteEnd(t *placing.Target, key string, lost []lostRequest, err error) {
+func (g *Gateway) recordTargetCheck(t *placing.Target, key string, lost []lostRequest, err error) {
 	ended := errors.Is(err, syscall.ECONNREFUSED)
 	if ended {
 		lost = append(lost, g.losses.takeAbandoned(key, time.Now())...)
@@ -83,15 +83,15 @@
 		return
 	}
 	planned := g.options.Balancer.IsLeaving(t)
-	g.logEnd(t, lost, err, ended, planned)
+	g.logLostRequests(t, lost, err, ended, planned)
 	if ended && !planned {
 		g.options.Metrics.TargetCrashed(t.Service)
-		g.blame(key, lost)
+		g.reportCrash(key, lost)
 	}
 }
 
-// blame counts the end of a target against the requests that it had.
-func (g *Gateway) blame(key string, lost []lostRequest) {
+// reportCrash counts the end of a target against the requests that it had.
+func (g *Gateway) reportCrash(key string, lost []lostRequest) {
 	if g.options.Quarantine == nil {
 		return
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// logEnd tells what was found at a target that lost requests, and which requests these were.
-func (g *Gateway) logEnd(t *placing.Target, lost []lostRequest, err error, ended, planned bool) {
+// logLostRequests tells what was found at a target that lost requests, and which requests these were.
+func (g *Gateway) logLostRequests(t *placing.Target, lost []lostRequest, err error, ended, planned bool) {
 	ids, fingerprints := make([]string, len(lost)), make([]string, len(lost))
 	for i, l := range lost {
 		ids[i], fingerprints[i] = l.id, l.fingerprint.String()
--- a/edge/gateway/ended_test.go
+++ b/edge/gateway/ended_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// until waits for a condition.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor waits for a condition.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > time.Minute {
@@ -32,14 +32,14 @@
 			})
 			f := newGateway(t, s)
 			f.ask(context.Background(), "POST", "/once/x", "7", time.Second, "order")
-			until(t, "no line on the lost request", func() bool {
-				return strings.Contains(f.written(), "gateway: requests lost at a target")
+			waitFor(t, "no line on the lost request", func() bool {
+				return strings.Contains(f.logText(), "gateway: requests lost at a target")
 			})
 			want := `"ended":false`
 			if ends {
 				want = `"ended":true`
 			}
-			if log := f.written(); !strings.Contains(log, want) || strings.Count(log, `"fingerprint`) != 2 {
+			if log := f.logText(); !strings.Contains(log, want) || strings.Count(log, `"fingerprint`) != 2 {
 				t.Errorf("want %s and the fingerprint twice: %s", want, log)
 			}
 		})
--- a/edge/gateway/fixture_test.go
+++ b/edge/gateway/fixture_test.go
@@ -132,8 +132,8 @@
 	return f.logs.Write(p)
 }
 
-// written is the log so far.
-func (f *fixture) written() string {
+// logText is the log so far.
+func (f *fixture) logText() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.logs.String()
@@ -152,21 +152,21 @@
 	l.SetOutput(f)
 	l.SetFormatter(&logrus.JSONFormatter{})
 	delay := func(string) time.Duration { return time.Millisecond }
-	board := placing.New(placing.Options{VM: "vm", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"}, Delay: delay})
+	balancer := placing.New(placing.Options{VM: "vm", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"}, Delay: delay})
 	f.Gateway = New(Options{
-		Fields: fields, Balancer: board, Logger: logrus.NewEntry(l), Metrics: noMetrics{}, RetryRatio: 0.2, RetryExtra: 50,
+		Fields: fields, Balancer: balancer, Logger: logrus.NewEntry(l), Metrics: noMetrics{}, RetryRatio: 0.2, RetryExtra: 50,
 		VMCount: func() int { return 1 }, RTT: delay, InFlightChanged: func() {}, MaxAnswerBytes: 1 << 20,
 		Dial: dial, Owners: owners.New(site.VM{Name: "vm"}),
 	})
 	if len(targets) == 0 {
 		return f
 	}
-	f.list(false, targets...)
+	f.setTargets(false, targets...)
 	return f
 }
 
-// list puts targets in force.
-func (f *fixture) list(draining bool, targets ...*target) {
+// setTargets puts targets in force.
+func (f *fixture) setTargets(draining bool, targets ...*target) {
 	v := &catalog.View{Config: &site.Config{
 		Version:  3,
 		Services: map[string]site.Service{"s": {Name: "s", MaxConnections: 100}},
@@ -186,7 +186,7 @@
 }
 
 // drain has a target leave.
-func (f *fixture) drain(s *target) { f.list(true, s) }
+func (f *fixture) drain(s *target) { f.setTargets(true, s) }
 
 func (f *fixture) ask(ctx context.Context, method, path, id string, deadline time.Duration, body string) *serve.Answer {
 	return f.Handle(ctx, &serve.Request{
@@ -195,7 +195,7 @@
 	})
 }
 
-// oneOf returns two targets of which one follows the script and the other one is sound.
-func oneOf(t *testing.T, bad script) (*target, *target) {
+// badAndGoodTargets returns two targets of which one follows the script and the other one is sound.
+func badAndGoodTargets(t *testing.T, bad script) (*target, *target) {
 	return startTarget(t, "bad", bad), startTarget(t, "good", ok)
 }
--- a/edge/gateway/gateway.go
+++ b/edge/gateway/gateway.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	// budgetMargin is the part of the deployment's retry budget that is used: the
+	// budgetFraction is the part of the deployment's retry budget that is used: the
 	// sum over all VMs must stay below it also while they disagree on their number.
-	budgetMargin = 0.85
-	// firstIdle is how long an idle connection is kept to a target that has not
+	budgetFraction = 0.85
+	// defaultIdleTimeout is how long an idle connection is kept to a target that has not
 	// stated when it closes them.
-	firstIdle = 4 * time.Second
-	// poolMargin is the part of a target's connections that the VMs use in sum.
-	poolMargin = 0.6
-	// minPool is the least number of connections to one target.
-	minPool = 8
+	defaultIdleTimeout = 4 * time.Second
+	// connectionFraction is the part of a target's connections that the VMs use in sum.
+	connectionFraction = 0.6
+	// minConnections is the least number of connections to one target.
+	minConnections = 8
 )
 
 // Metrics counts what happens to requests.
@@ -77,10 +77,10 @@
 type Gateway struct {
 	options Options
 	table   atomic.Pointer[route.Table]
-	// connections bounds those to one target, by service.
-	connections atomic.Pointer[map[string]int]
-	leaving     atomic.Bool
-	losses      *losses
+	// maxConnections bounds those to one target, by service.
+	maxConnections atomic.Pointer[map[string]int]
+	leaving        atomic.Bool
+	losses         *losses
 
 	mu sync.Mutex
 	// pools are by poolKey.
@@ -115,7 +115,7 @@
 	for name, service := range v.Config.Services {
 		connections[name] = service.MaxConnections
 	}
-	g.connections.Store(&connections)
+	g.maxConnections.Store(&connections)
 	list := make([]placing.Listing, 0, len(v.Targets))
 	listed := make(map[string]bool, len(v.Targets))
 	for _, t := range v.Targets {
@@ -124,7 +124,7 @@
 	}
 	g.options.Balancer.SetTargets(now, v.Config.Services, list, v.Evacuated)
 	g.closePools(listed)
-	g.losses.forget(listed)
+	g.losses.removeUnlisted(listed)
 }
 
 // Ready reports whether a configuration is known.
@@ -166,17 +166,17 @@
 // poolOf returns the connections to a target.
 func (g *Gateway) poolOf(t *placing.Target) *pool.Pool {
 	connections := 0
-	if known := g.connections.Load(); known != nil {
+	if known := g.maxConnections.Load(); known != nil {
 		connections = (*known)[t.Service]
 	}
-	limit := max(minPool, int(poolMargin*float64(connections))/max(1, g.options.VMCount()))
+	limit := max(minConnections, int(connectionFraction*float64(connections))/max(1, g.options.VMCount()))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	key := poolKey(&t.Target)
 	p := g.pools[key]
 	if p == nil {
 		p = pool.New(t.Address, g.options.Dial(g.options.RTT(t.Region)), limit)
-		p.SetMaxIdle(firstIdle)
+		p.SetMaxIdle(defaultIdleTimeout)
 		g.pools[key] = p
 	}
 	return p
@@ -188,8 +188,8 @@
 	defer g.mu.Unlock()
 	b := g.budgets[service]
 	if b == nil {
-		saved := max(1, budgetMargin*g.options.RetryExtra/float64(max(1, g.options.VMCount())))
-		b = retrybudget.New(saved, saved)
+		burst := max(1, budgetFraction*g.options.RetryExtra/float64(max(1, g.options.VMCount())))
+		b = retrybudget.New(burst, burst)
 		g.budgets[service] = b
 	}
 	return b
--- a/edge/gateway/gateway_test.go
+++ b/edge/gateway/gateway_test.go
@@ -32,7 +32,7 @@
 
 // A target refuses requests unrun. Each is sent to the other one, whatever its kind.
 func TestUnrunRequestIsSentAgain(t *testing.T) {
-	bad, good := oneOf(t, shed)
+	bad, good := badAndGoodTargets(t, shed)
 	f := newGateway(t, bad, good)
 	for i := range 8 {
 		a := f.ask(context.Background(), "POST", "/once/x", fmt.Sprint(i), time.Second, "order")
@@ -61,7 +61,7 @@
 
 // The same for a look-up: it is sent again, to at most as many targets as its route says.
 func TestLookupIsSentAgainAfterALoss(t *testing.T) {
-	bad, good := oneOf(t, hangUp)
+	bad, good := badAndGoodTargets(t, hangUp)
 	f := newGateway(t, bad, good)
 	for i := range 6 {
 		if a := f.ask(context.Background(), "GET", "/safe/x", fmt.Sprint(i), time.Second, ""); a.Status != http.StatusOK {
--- a/edge/gateway/hedge_test.go
+++ b/edge/gateway/hedge_test.go
@@ -18,16 +18,16 @@
 // not be sent to a second target for that, which would run it cold as well.
 func TestColdRunIsNotSentTwice(t *testing.T) {
 	const warm, left = 110 * time.Millisecond, 2 * time.Second
-	if got := hedgeTime(warm, left); got < 3*warm {
+	if got := hedgeDelay(warm, left); got < 3*warm {
 		t.Errorf("sent again after %v, a cold run takes %v", got, 3*warm)
 	}
-	if got := hedgeTime(time.Second, left); got > left/2 {
+	if got := hedgeDelay(time.Second, left); got > left/2 {
 		t.Errorf("sent again after %v of %v: the second target needs the rest", got, left)
 	}
 }
 
-// pipes reaches scripted targets through memory, so that a test can run in virtual time.
-func pipes(scripts map[*target]script) func(time.Duration) pool.Dial {
+// pipeDialer reaches scripted targets through memory, so that a test can run in virtual time.
+func pipeDialer(scripts map[*target]script) func(time.Duration) pool.Dial {
 	dial := func(_ context.Context, address string) (net.Conn, error) {
 		for s, answer := range scripts {
 			if s.address() == address {
@@ -47,10 +47,10 @@
 		over := make(chan struct{})
 		silent := func(*bufio.Writer, *http.Request, string) bool { <-over; return false }
 		bad, good := &target{id: "bad"}, &target{id: "good"}
-		f := newGatewayOn(t, pipes(map[*target]script{bad: silent, good: ok}), bad, good)
+		f := newGatewayOn(t, pipeDialer(map[*target]script{bad: silent, good: ok}), bad, good)
 		for i := range 4 {
 			if a := f.ask(context.Background(), "GET", "/safe/x", fmt.Sprint(i), 2*time.Second, ""); a.Status != 200 {
-				t.Errorf("request %d: %d\n%s", i, a.Status, f.written())
+				t.Errorf("request %d: %d\n%s", i, a.Status, f.logText())
 			}
 		}
 		if bad.count() == 0 {
@@ -69,10 +69,10 @@
 		over := make(chan struct{})
 		silent := func(*bufio.Writer, *http.Request, string) bool { <-over; return false }
 		bad, full, good := &target{id: "bad"}, &target{id: "full"}, &target{id: "good"}
-		f := newGatewayOn(t, pipes(map[*target]script{bad: silent, full: shed, good: ok}), bad, full, good)
+		f := newGatewayOn(t, pipeDialer(map[*target]script{bad: silent, full: shed, good: ok}), bad, full, good)
 		for i := range 8 {
 			if a := f.ask(context.Background(), "GET", "/safe/x", fmt.Sprint(i), 2*time.Second, ""); a.Status != 200 {
-				t.Errorf("request %d: %d\n%s", i, a.Status, f.written())
+				t.Errorf("request %d: %d\n%s", i, a.Status, f.logText())
 			}
 		}
 		close(over)
--- a/edge/gateway/keepalive.go
+++ b/edge/gateway/keepalive.go
@@ -11,9 +11,9 @@
 // request that crosses the target's close ends as unknown.
 const idleMargin = 1500 * time.Millisecond
 
-// keepAlive returns how long an idle connection may be kept, by what the target
+// keepAliveTimeout returns how long an idle connection may be kept, by what the target
 // says about closing it.
-func keepAlive(h http.Header) (time.Duration, bool) {
+func keepAliveTimeout(h http.Header) (time.Duration, bool) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/edge/gateway/large_test.go
+++ b/edge/gateway/large_test.go
@@ -23,8 +23,8 @@
 		{"upload", site.Route{Upload: true}, "", true},
 		{"long body", site.Route{}, strings.Repeat("x", largeBody+1), true},
 	} {
-		j := &job{in: &serve.Request{Body: []byte(c.body)}, route: &route.Entry{Route: c.route}}
-		if got := isLarge(j); got != c.want {
+		r := &request{in: &serve.Request{Body: []byte(c.body)}, route: &route.Entry{Route: c.route}}
+		if got := isLarge(r); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/edge/gateway/losses.go
+++ b/edge/gateway/losses.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// maxLost bounds the requests that are remembered of one target.
-	maxLost = 64
-	// abandonedFor is how long a request is remembered that a target was still working on when
+	// maxLostPerTarget bounds the requests that are remembered of one target.
+	maxLostPerTarget = 64
+	// abandonedTTL is how long a request is remembered that a target was still working on when
 	// its caller left or its time was over: it may end the target all the same.
-	abandonedFor = 3 * time.Second
+	abandonedTTL = 3 * time.Second
 )
 
 // lostRequest is a request that a target began and whose answer did not come.
 type lostRequest struct {
 	id          string
 	fingerprint quarantine.Fingerprint
-	at          time.Time
+	lostAt      time.Time
 }
 
 // losses are the requests that targets began and did not answer, by poolKey of the target.
@@ -39,7 +39,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.lost[key]
-	if len(before) < maxLost {
+	if len(before) < maxLostPerTarget {
 		l.lost[key] = append(before, r)
 	}
 	return len(before) == 0
@@ -48,8 +48,8 @@
 func (l *losses) addAbandoned(key string, r lostRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := recent(l.abandoned[key], r.at)
-	if len(list) < maxLost {
+	list := dropExpired(l.abandoned[key], r.lostAt)
+	if len(list) < maxLostPerTarget {
 		list = append(list, r)
 	}
 	l.abandoned[key] = list
@@ -68,13 +68,13 @@
 func (l *losses) takeAbandoned(key string, now time.Time) []lostRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := recent(l.abandoned[key], now)
+	list := dropExpired(l.abandoned[key], now)
 	delete(l.abandoned, key)
 	return list
 }
 
-// forget drops what is remembered of targets that are not listed.
-func (l *losses) forget(listed map[string]bool) {
+// removeUnlisted drops what is remembered of targets that are not listed.
+func (l *losses) removeUnlisted(listed map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key := range l.abandoned {
@@ -84,7 +84,7 @@
 	}
 }
 
-// recent returns the requests that were given up within abandonedFor.
-func recent(list []lostRequest, now time.Time) []lostRequest {
-	return slices.DeleteFunc(list, func(r lostRequest) bool { return now.Sub(r.at) > abandonedFor })
+// dropExpired returns the requests that were given up within abandonedFor.
+func dropExpired(list []lostRequest, now time.Time) []lostRequest {
+	return slices.DeleteFunc(list, func(r lostRequest) bool { return now.Sub(r.lostAt) > abandonedTTL })
 }
--- a/edge/gateway/probe.go
+++ b/edge/gateway/probe.go
@@ -10,9 +10,9 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// probeTime bounds a probe beyond the network's delay. A busy target answers when
+// probeTimeout bounds a probe beyond the network's delay. A busy target answers when
 // a slot is free.
-const probeTime = 700 * time.Millisecond
+const probeTimeout = 700 * time.Millisecond
 
 // Probe asks the suspects for their health and readmits those that are well.
 func (g *Gateway) Probe(ctx context.Context, healthPath func(service string) string) {
@@ -22,14 +22,14 @@
 }
 
 func (g *Gateway) probe(ctx context.Context, t *placing.Target, path string) {
-	well, coldFor, err := g.askHealth(ctx, t, path)
-	g.options.Balancer.Probed(time.Now(), t, well, coldFor)
-	g.options.Logger.WithError(err).WithField("target", t.ID).WithField("well", well).
-		WithField("cold_ms", coldFor.Milliseconds()).Info("gateway: target probed")
+	healthy, coldRemaining, err := g.checkHealth(ctx, t, path)
+	g.options.Balancer.Probed(time.Now(), t, healthy, coldRemaining)
+	g.options.Logger.WithError(err).WithField("target", t.ID).WithField("well", healthy).
+		WithField("cold_ms", coldRemaining.Milliseconds()).Info("gateway: target probed")
 }
 
-func (g *Gateway) askHealth(ctx context.Context, t *placing.Target, path string) (well bool, coldFor time.Duration, err error) {
-	limit := probeTime + g.options.RTT(t.Region)
+func (g *Gateway) checkHealth(ctx context.Context, t *placing.Target, path string) (healthy bool, coldRemaining time.Duration, err error) {
+	limit := probeTimeout + g.options.RTT(t.Region)
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	p := g.poolOf(t)
@@ -46,11 +46,11 @@
 	if err != nil {
 		return false, 0, err
 	}
-	well = answer.Status == http.StatusOK && answer.Header.Get(g.options.Fields.TargetID) == t.ID
+	healthy = answer.Status == http.StatusOK && answer.Header.Get(g.options.Fields.TargetID) == t.ID
 	if millis, err := strconv.ParseFloat(answer.Header.Get(g.options.Fields.ColdMillis), 64); err == nil {
-		coldFor = time.Duration(millis * float64(time.Millisecond))
+		coldRemaining = time.Duration(millis * float64(time.Millisecond))
 	}
-	return well, coldFor, nil
+	return healthy, coldRemaining, nil
 }
 
 // maxProbeBytes bounds a health answer.
--- a/edge/gateway/quarantine.go
+++ b/edge/gateway/quarantine.go
@@ -9,51 +9,51 @@
 )
 
 // verdict decides whether a request may be sent to targets.
-func (g *Gateway) verdict(j *job) quarantine.Verdict {
+func (g *Gateway) verdict(r *request) quarantine.Verdict {
 	if g.options.Quarantine == nil || g.options.Quarantine.IsEmpty() {
 		return quarantine.Verdict{}
 	}
-	v := g.options.Quarantine.Verdict(time.Now(), g.fingerprint(j))
-	j.log.verdict = v
+	v := g.options.Quarantine.Verdict(time.Now(), g.fingerprint(r))
+	r.log.verdict = v
 	return v
 }
 
 // admit refuses a request that is kept from targets. It returns true if the request may go on,
 // one that is due for a trial only at the VM that claims it.
-func (g *Gateway) admit(ctx context.Context, j *job) (outcome, bool) {
-	v := g.verdict(j)
+func (g *Gateway) admit(ctx context.Context, r *request) (outcome, bool) {
+	v := g.verdict(r)
 	switch {
-	case v.Status == quarantine.TrialDue && g.options.Quarantine.Claim(ctx, time.Now(), g.fingerprint(j)):
-		j.onTrial = true
+	case v.Status == quarantine.TrialDue && g.options.Quarantine.Claim(ctx, time.Now(), g.fingerprint(r)):
+		r.onTrial = true
 		return outcome{}, true
-	case isKept(v):
-		return keptOutcome(v), false
+	case isBlocked(v):
+		return quarantinedOutcome(v), false
 	}
 	return outcome{}, true
 }
 
-// isKept reports whether a request is kept from targets.
-func isKept(v quarantine.Verdict) bool {
+// isBlocked reports whether a request is kept from targets.
+func isBlocked(v quarantine.Verdict) bool {
 	return v.Status == quarantine.Quarantined || v.Status == quarantine.TrialDue
 }
 
-// keptOutcome refuses a request that is kept from targets, and tells when it may be sent again.
-func keptOutcome(v quarantine.Verdict) outcome {
-	return outcome{code: result.Quarantined, retryAfter: v.RetryAfter, why: "targets end when they run it"}
+// quarantinedOutcome refuses a request that is kept from targets, and tells when it may be sent again.
+func quarantinedOutcome(v quarantine.Verdict) outcome {
+	return outcome{code: result.Quarantined, retryAfter: v.RetryAfter, reason: "targets end when they run it"}
 }
 
-// sendsOnce reports whether a request must not be sent to a second target: others ended when
+// limitedToOneAttempt reports whether a request must not be sent to a second target: others ended when
 // they ran it.
-func (g *Gateway) sendsOnce(j *job) bool {
-	return j.onTrial || g.verdict(j).Status != quarantine.Clear
+func (g *Gateway) limitedToOneAttempt(r *request) bool {
+	return r.onTrial || g.verdict(r).Status != quarantine.Clear
 }
 
-// noteAnswer tells of a request that a target answered: it does not end the targets that run it.
-func (g *Gateway) noteAnswer(j *job, t try) {
+// recordAnswered tells of a request that a target answered: it does not end the targets that run it.
+func (g *Gateway) recordAnswered(r *request, a attempt) {
 	q := g.options.Quarantine
-	if q == nil || t.answer == nil || isServerError(t.answer) ||
-		t.answer.Header.Get(g.options.Fields.Stamp) == "" {
+	if q == nil || a.answer == nil || isServerError(a.answer) ||
+		a.answer.Header.Get(g.options.Fields.Stamp) == "" {
 		return
 	}
-	q.Answered(time.Now(), g.fingerprint(j))
+	q.Answered(time.Now(), g.fingerprint(r))
 }
--- a/edge/gateway/quarantine_test.go
+++ b/edge/gateway/quarantine_test.go
@@ -38,14 +38,14 @@
 	return quarantine.FingerprintOf(quarantine.Content{Method: method, Host: "h:80", Target: path, Body: []byte(body)})
 }
 
-// end has targets end under a request, as other VMs tell it.
-func end(q *quarantine.Quarantine, f quarantine.Fingerprint, targets ...uint64) {
+// recordCrashes has targets recordCrashes under a request, as other VMs tell it.
+func recordCrashes(q *quarantine.Quarantine, f quarantine.Fingerprint, targets ...uint64) {
 	for _, target := range targets {
 		q.Received(time.Now(), quarantine.Event{Request: f, Target: target}, quarantine.Origin{VM: "other"})
 	}
 }
 
-func checkKept(t *testing.T, a *serve.Answer) {
+func checkQuarantined(t *testing.T, a *serve.Answer) {
 	t.Helper()
 	after, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	if a.Status != http.StatusServiceUnavailable || err != nil || after < 1 {
@@ -60,13 +60,13 @@
 func TestQuarantinedRequestIsRefusedUnrun(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	f := newGateway(t, s)
-	end(f.withQuarantine(), fingerprintOf("POST", "/once/x", "bad"), 1, 2, 3)
-	checkKept(t, f.ask(context.Background(), "POST", "/once/x", "1", time.Second, "bad"))
+	recordCrashes(f.withQuarantine(), fingerprintOf("POST", "/once/x", "bad"), 1, 2, 3)
+	checkQuarantined(t, f.ask(context.Background(), "POST", "/once/x", "1", time.Second, "bad"))
 	if s.count() != 0 {
 		t.Error("it reached a target")
 	}
-	if !strings.Contains(f.written(), `"targets_ended":3`) || !strings.Contains(f.written(), `"result":"quarantined"`) {
-		t.Errorf("the line does not tell the cause: %s", f.written())
+	if !strings.Contains(f.logText(), `"targets_ended":3`) || !strings.Contains(f.logText(), `"result":"quarantined"`) {
+		t.Errorf("the line does not tell the cause: %s", f.logText())
 	}
 	if a := f.ask(context.Background(), "POST", "/once/x", "2", time.Second, "good"); a.Status != http.StatusOK {
 		t.Errorf("%d for another body", a.Status)
@@ -77,7 +77,7 @@
 func TestSuspectedRequestIsSentOnce(t *testing.T) {
 	a, b := startTarget(t, "a", hangUp), startTarget(t, "b", hangUp)
 	f := newGateway(t, a, b)
-	end(f.withQuarantine(), fingerprintOf("GET", "/safe/x", ""), 1, 2)
+	recordCrashes(f.withQuarantine(), fingerprintOf("GET", "/safe/x", ""), 1, 2)
 	if got := f.ask(context.Background(), "GET", "/safe/x", "1", time.Second, ""); got.Status != http.StatusBadGateway {
 		t.Errorf("status %d", got.Status)
 	}
@@ -100,16 +100,16 @@
 	for range slots {
 		go func() { answers <- f.ask(context.Background(), "POST", "/once/x", "1", 2*time.Second, "") }()
 	}
-	until(t, "the target never was full", func() bool { return s.count() == slots })
+	waitFor(t, "the target never was full", func() bool { return s.count() == slots })
 	go func() { answers <- f.ask(context.Background(), "POST", "/once/x", "2", 2*time.Second, "bad") }()
-	until(t, "the request never waited", func() bool { return f.options.Balancer.Waiting() == 1 })
-	end(q, fingerprintOf("POST", "/once/x", "bad"), 1, 2, 3)
+	waitFor(t, "the request never waited", func() bool { return f.options.Balancer.Waiting() == 1 })
+	recordCrashes(q, fingerprintOf("POST", "/once/x", "bad"), 1, 2, 3)
 	close(free)
 	kept := 0
 	for range slots + 1 {
 		if a := <-answers; a.Status != http.StatusOK {
 			kept++
-			checkKept(t, a)
+			checkQuarantined(t, a)
 		}
 	}
 	if kept != 1 || s.count() != slots {
@@ -133,8 +133,8 @@
 	first := make(chan *serve.Answer, 1)
 	go func() { first <- f.ask(context.Background(), "GET", "/safe/x", "1", time.Second, "") }()
 	<-began
-	end(q, fingerprintOf("GET", "/safe/x", ""), 1, 2, 3)
-	checkKept(t, f.ask(context.Background(), "GET", "/safe/x", "2", time.Second, ""))
+	recordCrashes(q, fingerprintOf("GET", "/safe/x", ""), 1, 2, 3)
+	checkQuarantined(t, f.ask(context.Background(), "GET", "/safe/x", "2", time.Second, ""))
 	close(free)
 	<-first
 	if a := f.ask(context.Background(), "GET", "/safe/x", "3", time.Second, ""); a.Status != http.StatusOK {
@@ -147,10 +147,10 @@
 func TestOwnerRefusesQuarantinedRequest(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked, owner := newGateway(t, s), newGateway(t, s)
-	asked.ownedByOthers(owner.listenForOthers(t))
+	asked.setOwners(owner.servePeers(t))
 	asked.withQuarantine()
-	end(owner.withQuarantine(), fingerprintOf("GET", "/safe/x", ""), 1, 2, 3)
-	checkKept(t, asked.Handle(context.Background(), asked.keyed("GET", "/safe/x", "7", asked.otherKey(t), time.Second, "")))
+	recordCrashes(owner.withQuarantine(), fingerprintOf("GET", "/safe/x", ""), 1, 2, 3)
+	checkQuarantined(t, asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "7", asked.peerKey(t), time.Second, "")))
 	if s.count() != 0 {
 		t.Error("it reached a target")
 	}
@@ -172,8 +172,8 @@
 			f = newGateway(t, s)
 			q := f.withQuarantine()
 			f.ask(context.Background(), "POST", "/once/x", "1", time.Second, "")
-			until(t, "the lost request was not looked at", func() bool { return strings.Contains(f.written(), "requests lost at a target") })
-			until(t, "the end was not taken in", func() bool { suspected, _ := q.Counts(); return planned || suspected == 1 })
+			waitFor(t, "the lost request was not looked at", func() bool { return strings.Contains(f.logText(), "requests lost at a target") })
+			waitFor(t, "the end was not taken in", func() bool { suspected, _ := q.Counts(); return planned || suspected == 1 })
 			if suspected, _ := q.Counts(); planned && suspected != 0 {
 				t.Errorf("%d suspected", suspected)
 			}
@@ -204,7 +204,7 @@
 	f.ask(ctx, "POST", "/once/bad", "1", time.Second, "")
 	s.listener.Close()
 	f.ask(context.Background(), "POST", "/once/x", "2", time.Second, "")
-	until(t, "the end was not taken in", func() bool { suspected, _ := q.Counts(); return suspected == 1 })
+	waitFor(t, "the end was not taken in", func() bool { suspected, _ := q.Counts(); return suspected == 1 })
 	if v := q.Verdict(time.Now(), fingerprintOf("POST", "/once/bad", "")); v.Targets != 1 {
 		t.Errorf("%+v", v)
 	}
--- a/edge/gateway/serve.go
+++ b/edge/gateway/serve.go
@@ -28,30 +28,30 @@
 	configRetryAfter = 300 * time.Millisecond
 )
 
-// job is one request on its way.
-type job struct {
-	in      *serve.Request
-	id      string
-	route   *route.Entry
-	service string
-	class   *placing.Class
-	version uint64
-	ask     placing.Request
+// request is one request on its way.
+type request struct {
+	in        *serve.Request
+	id        string
+	route     *route.Entry
+	service   string
+	class     *placing.Class
+	version   uint64
+	placement placing.Request
 	// deadline is when the caller, or the route's timeout, ends it.
 	deadline time.Time
 	out      forward.Request
-	// sent counts the sendings to targets, mayHaveRun tells that one may have run.
-	sent       int
+	// attempts counts the sendings to targets, mayHaveRun tells that one may have run.
+	attempts   int
 	mayHaveRun bool
-	// last is the last failure that a target answered itself.
-	last *forward.Answer
-	// forOther tells that another VM has passed the request on to this one.
-	forOther bool
+	// lastFailure is the lastFailure failure that a target answered itself.
+	lastFailure *forward.Answer
+	// fromPeer tells that another VM has passed the request on to this one.
+	fromPeer bool
 	// fingerprint is nil until it is needed, see Gateway.fingerprint.
 	fingerprint *quarantine.Fingerprint
 	// onTrial tells that this VM claimed the request's trial: it is sent once.
 	onTrial bool
-	log     trail
+	log     requestLog
 }
 
 // outcome is how a request ended.
@@ -60,101 +60,101 @@
 	answer *forward.Answer
 	// retryAfter is when there should be room, for refusals.
 	retryAfter time.Duration
-	why        string
+	reason     string
 }
 
 // Handle implements serve.Handler.
 func (g *Gateway) Handle(ctx context.Context, in *serve.Request) *serve.Answer {
-	j := &job{in: in, id: in.Header.Get(g.options.Fields.RequestID)}
-	end := g.handle(ctx, j, g.table.Load())
-	g.record(j, end)
+	r := &request{in: in, id: in.Header.Get(g.options.Fields.RequestID)}
+	end := g.handle(ctx, r, g.table.Load())
+	g.record(r, end)
 	return g.answer(end)
 }
 
 // handle works on a request by a table of routes, nil for none yet.
-func (g *Gateway) handle(ctx context.Context, j *job, table *route.Table) outcome {
+func (g *Gateway) handle(ctx context.Context, r *request, table *route.Table) outcome {
 	if table == nil {
-		return outcome{code: result.NoPlan, retryAfter: configRetryAfter, why: "no configuration yet"}
+		return outcome{code: result.NoPlan, retryAfter: configRetryAfter, reason: "no configuration yet"}
 	}
 	if g.leaving.Load() {
-		return outcome{code: result.NodeLeaving, why: "leaving"}
+		return outcome{code: result.NodeLeaving, reason: "leaving"}
 	}
-	j.version = table.Version
-	j.route = table.Match(j.in.Host, j.in.Path)
-	if j.route == nil {
-		return outcome{code: result.UnknownService, why: "no route"}
+	r.version = table.Version
+	r.route = table.Match(r.in.Host, r.in.Path)
+	if r.route == nil {
+		return outcome{code: result.UnknownService, reason: "no route"}
 	}
-	if refused := g.prepare(j); refused.code != result.OK {
+	if refused := g.prepare(r); refused.code != result.OK {
 		return refused
 	}
-	ctx, cancel := context.WithDeadline(ctx, j.deadline)
+	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
-	if refused, ok := g.admit(ctx, j); !ok {
+	if refused, ok := g.admit(ctx, r); !ok {
 		return refused
 	}
-	if owner := g.ownerOf(j); owner != nil {
-		if end, done := g.delegate(ctx, j, owner); done {
+	if owner := g.ownerOf(r); owner != nil {
+		if end, done := g.delegate(ctx, r, owner); done {
 			return end
 		}
 	}
-	return g.run(ctx, j)
+	return g.run(ctx, r)
 }
 
 // prepare works out what the decisions read and what is sent.
-func (g *Gateway) prepare(j *job) outcome {
-	left, ok := g.timeLeft(j)
+func (g *Gateway) prepare(r *request) outcome {
+	left, ok := g.timeLeft(r)
 	if !ok {
-		return outcome{code: result.BadDeadline, why: "deadline not understood"}
+		return outcome{code: result.BadDeadline, reason: "deadline not understood"}
 	}
-	j.deadline = j.in.Arrived.Add(left)
-	j.service, j.class = j.route.NextService()
-	key := j.in.Header.Get(g.options.Fields.Affinity)
-	hasKey := key != "" && j.route.Sticky
+	r.deadline = r.in.Arrived.Add(left)
+	r.service, r.class = r.route.NextService()
+	key := r.in.Header.Get(g.options.Fields.Affinity)
+	hasKey := key != "" && r.route.Sticky
 	if !hasKey {
 		// Requests without an affinity key are spread over all targets.
-		key = j.id
+		key = r.id
 	}
-	j.ask = placing.Request{
-		Service: j.service, Class: j.class,
-		Key: placing.HashOf(j.route.Prefix + key), HasKey: hasKey,
-		Large: isLarge(j), Priority: j.route.Priority,
-		Objective: j.in.Arrived.Add(j.route.Objective), Deadline: j.deadline,
+	r.placement = placing.Request{
+		Service: r.service, Class: r.class,
+		Key: placing.HashOf(r.route.Prefix + key), HasKey: hasKey,
+		Large: isLarge(r), Priority: r.route.Priority,
+		Objective: r.in.Arrived.Add(r.route.Objective), Deadline: r.deadline,
 	}
-	if len(j.route.Regions) > 0 {
-		j.ask.Allowed = j.route.Allows
+	if len(r.route.Regions) > 0 {
+		r.placement.Allowed = r.route.Allows
 	}
-	j.out = forward.Request{
-		Method: j.in.Method, URI: j.in.Target, Host: j.in.Host, Header: j.in.Header.Clone(),
-		Length: int64(len(j.in.Body)), Deadline: j.deadline, MaxAnswerBytes: g.options.MaxAnswerBytes,
+	r.out = forward.Request{
+		Method: r.in.Method, URI: r.in.Target, Host: r.in.Host, Header: r.in.Header.Clone(),
+		Length: int64(len(r.in.Body)), Deadline: r.deadline, MaxAnswerBytes: g.options.MaxAnswerBytes,
 		Dialect: &forward.Dialect{
-			DeadlineField: g.options.Fields.Deadline, IDField: g.options.Fields.RequestID, ID: j.id,
+			DeadlineField: g.options.Fields.Deadline, IDField: g.options.Fields.RequestID, ID: r.id,
 			CloseDelimited: true,
 		},
 	}
-	if len(j.in.Body) > 0 {
-		j.out.Body = [][]byte{j.in.Body}
+	if len(r.in.Body) > 0 {
+		r.out.Body = [][]byte{r.in.Body}
 	}
 	return outcome{}
 }
 
 // isLarge tells whether a request or its answer should stay in its region. A large
 // answer from afar takes several round trips, and bytes between regions are scarce.
-func isLarge(j *job) bool {
-	return j.route.Upload || j.route.Download || len(j.in.Body) > largeBody
+func isLarge(r *request) bool {
+	return r.route.Upload || r.route.Download || len(r.in.Body) > largeBody
 }
 
 // timeLeft is how long the request may take from its arrival on.
-func (g *Gateway) timeLeft(j *job) (time.Duration, bool) {
+func (g *Gateway) timeLeft(r *request) (time.Duration, bool) {
 	left := defaultDeadline
-	if text := j.in.Header.Get(g.options.Fields.Deadline); text != "" {
+	if text := r.in.Header.Get(g.options.Fields.Deadline); text != "" {
 		millis, err := strconv.ParseFloat(text, 64)
 		if err != nil || millis <= 0 {
 			return 0, false
 		}
 		left = time.Duration(millis*float64(time.Millisecond)) - deadlineMargin
 	}
-	if j.route.Timeout > 0 {
-		left = min(left, j.route.Timeout)
+	if r.route.Timeout > 0 {
+		left = min(left, r.route.Timeout)
 	}
 	return left, true
 }
@@ -186,78 +186,78 @@
 	return a
 }
 
-// trail is what happened to a request, for its log line: what decided its last
+// requestLog is what happened to a request, for its log line: what decided its last
 // placing, and each sending.
-type trail struct {
-	waited  time.Duration
-	placed  placing.Decision
-	targets []string
-	ends    []string
-	// tookMS is how long each sending took, with the network, in milliseconds.
-	tookMS []int64
-	hedged bool
+type requestLog struct {
+	waited   time.Duration
+	decision placing.Decision
+	targets  []string
+	results  []string
+	// durationsMS is how long each sending took, with the network, in milliseconds.
+	durationsMS []int64
+	hedged      bool
 	// owner is the VM that decided on the request, if another one did, ownerTook how long
 	// that took with the network.
-	owner     string
-	ownerTook time.Duration
+	owner         string
+	ownerDuration time.Duration
 	// unanswered tells that a target may have begun the request and did not answer, verdict is
 	// the last one on whether it may be sent.
 	unanswered bool
 	verdict    quarantine.Verdict
 }
 
-// fields adds the trail to a log line.
-func (t *trail) fields(to logrus.Fields) {
-	to["waited_ms"] = t.waited.Milliseconds()
-	to["expected_ms"] = t.placed.Expected.Milliseconds()
-	to["slots"], to["in_flight"] = t.placed.Slots, t.placed.InFlight
+// addFields adds the trail to a log line.
+func (t *requestLog) addFields(line logrus.Fields) {
+	line["waited_ms"] = t.waited.Milliseconds()
+	line["expected_ms"] = t.decision.Expected.Milliseconds()
+	line["slots"], line["in_flight"] = t.decision.Slots, t.decision.InFlight
 	if t.verdict.Status != quarantine.Clear {
-		to["targets_ended"], to["evidence_age_ms"] = t.verdict.Targets, t.verdict.Age.Milliseconds()
+		line["targets_ended"], line["evidence_age_ms"] = t.verdict.Targets, t.verdict.Age.Milliseconds()
 	}
 	if len(t.targets) == 0 {
 		return
 	}
-	to["targets"], to["ends"], to["took_ms"], to["region"] = t.targets, t.ends, t.tookMS, t.placed.Region
-	to["counts_age_ms"] = t.placed.CountsAge.Milliseconds()
-	to["warm"], to["hedged"] = t.placed.Warm, t.hedged
+	line["targets"], line["ends"], line["took_ms"], line["region"] = t.targets, t.results, t.durationsMS, t.decision.Region
+	line["counts_age_ms"] = t.decision.CountsAge.Milliseconds()
+	line["warm"], line["hedged"] = t.decision.Warm, t.hedged
 }
 
 // record counts a request and writes its line. The VM that decided on the request writes
 // the inputs of the decision; the one that its caller asked counts it.
-func (g *Gateway) record(j *job, end outcome) {
-	took := time.Since(j.in.Arrived)
+func (g *Gateway) record(r *request, end outcome) {
+	took := time.Since(r.in.Arrived)
 	name := ""
-	if j.route != nil {
-		name = j.route.Name
+	if r.route != nil {
+		name = r.route.Name
 	}
-	if !j.forOther {
-		g.options.Metrics.RequestEnded(name, j.service, int(end.code), took)
+	if !r.fromPeer {
+		g.options.Metrics.RequestEnded(name, r.service, int(end.code), took)
 	}
 	fields := logrus.Fields{
-		"id": j.id, "route": name, "service": j.service, "version": j.version, "result": end.code.String(),
+		"id": r.id, "route": name, "service": r.service, "version": r.version, "result": end.code.String(),
 		"ms": took.Milliseconds(),
 	}
-	if j.log.owner != "" {
-		fields["owner"], fields["owner_ms"] = j.log.owner, j.log.ownerTook.Milliseconds()
+	if r.log.owner != "" {
+		fields["owner"], fields["owner_ms"] = r.log.owner, r.log.ownerDuration.Milliseconds()
 		g.options.Logger.WithFields(fields).Info("gateway: request delegated")
 		return
 	}
-	fields["sent"] = j.sent
-	if !j.deadline.IsZero() {
-		fields["left_ms"] = j.deadline.Sub(j.in.Arrived).Milliseconds()
-		fields["objective_ms"] = j.route.Objective.Milliseconds()
+	fields["sent"] = r.attempts
+	if !r.deadline.IsZero() {
+		fields["left_ms"] = r.deadline.Sub(r.in.Arrived).Milliseconds()
+		fields["objective_ms"] = r.route.Objective.Milliseconds()
 	}
-	if j.ask.HasKey {
-		fields["affinity_key"] = strconv.FormatUint(j.ask.Key, 36)
+	if r.placement.HasKey {
+		fields["affinity_key"] = strconv.FormatUint(r.placement.Key, 36)
 	}
-	if j.log.unanswered || j.log.verdict.Status != quarantine.Clear {
-		fields["fingerprint"] = g.fingerprint(j).String()
+	if r.log.unanswered || r.log.verdict.Status != quarantine.Clear {
+		fields["fingerprint"] = g.fingerprint(r).String()
 	}
-	j.log.fields(fields)
+	r.log.addFields(fields)
 	if end.answer != nil {
 		fields["status"] = end.answer.Status
 	} else {
-		fields["why"] = end.why
+		fields["why"] = end.reason
 		fields["retry_after_ms"] = end.retryAfter.Milliseconds()
 	}
 	g.options.Logger.WithFields(fields).Info("gateway: request ended")
