--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -16,34 +16,31 @@
 	"github.com/yuccaroute/yuccaroute/proxy/pool"
 )
 
-// Fields between VMs. They never reach a caller or a target.
+// Header fields between VMs. They never reach a caller or a target.
 const (
-	// fieldVersion is on a delegated request: the version of the configuration by which
-	// the sender matched it.
+	// fieldVersion carries, on a delegated request, the version of the configuration that
+	// the sender matched it with.
 	fieldVersion = "Yucca-Delegated-Version"
-	// fieldOwnerMillis is on an owner's answer: the milliseconds that it took itself.
+	// fieldOwnerMillis carries, on an owner's answer, the owner's processing time.
 	fieldOwnerMillis = "Yucca-Delegated-Took-Ms"
-	// fieldDeclined is on the answer of an owner that did not take the request.
+	// fieldDeclined is set on the answer of an owner that declines the request.
 	fieldDeclined = "Yucca-Declined"
 )
 
 const (
 	// ownerConnections bounds the connections to one owner.
 	ownerConnections = 64
-	// ownerRTT is the network's within a failure domain, there and back.
+	// ownerRTT is the round-trip time within a failure domain.
 	ownerRTT = 2 * time.Millisecond
 )
 
-// IsDelegated reports whether a request between VMs is one of a caller.
+// IsDelegated reports whether a request on the peer port is a caller's request that another
+// VM delegated.
 func IsDelegated(r *serve.Request) bool { return r.Header.Get(fieldVersion) != "" }
 
-// HandleDelegated handles a request that another VM passed on, as serve.Handler does.
-// It declines a request that was matched by another version of the configuration.
-//
-// Guard against callers of one VM whose requests are decided by several owners: one owner
-// has the new configuration, the next one has not, and the VM seems to go back to the old
-// one. The guard holds because only an owner at the sender's version takes a request; the
-// sender handles all others itself.
+// HandleDelegated implements serve.Handler for requests that other VMs delegate. It declines
+// a request that was matched with another version of the configuration: callers of one VM
+// would otherwise see it alternate between versions, depending on the owner.
 func (g *Gateway) HandleDelegated(ctx context.Context, in *serve.Request) *serve.Answer {
 	version, err := strconv.ParseUint(in.Header.Get(fieldVersion), 10, 64)
 	table := g.table.Load()
@@ -68,8 +65,8 @@
 	return a
 }
 
-// ownerOf returns the VM that decides on a request, nil for this one. Large bodies stay:
-// the links of the VMs are narrow.
+// ownerOf returns the VM that places a request, nil for this one. Large requests are not
+// delegated, to save the bandwidth of the VMs.
 func (g *Gateway) ownerOf(r *request) *owners.Owner {
 	if r.fromPeer || r.onTrial || !r.placement.HasKey || r.placement.Large || g.options.Owners == nil {
 		return nil
@@ -77,12 +74,9 @@
 	return g.options.Owners.Lookup(r.placement.Key, r.in.Arrived)
 }
 
-// delegate has the owner of its key decide on a request. It returns false if this VM
-// should do so itself: the request has not run, or may run once more.
-//
-// Guard against an owner that dies or is cut off with the request: callers would wait
-// until their deadline. An owner that is unresponsive ends the wait for requests that may
-// run twice; for others the outcome is unknown, and is told as such.
+// delegate sends a request to the owner of its key. It returns false if this VM should place
+// the request itself: the request has not run, or may run again. Waiting for an owner that
+// becomes unresponsive ends early for idempotent requests only.
 func (g *Gateway) delegate(ctx context.Context, r *request, o *owners.Owner) (outcome, bool) {
 	began := time.Now()
 	answer, err := g.sendToOwner(ctx, r, o)
@@ -103,7 +97,8 @@
 	return delegatedOutcome(answer), true
 }
 
-// handleOwnerFailure decides what comes of a request whose owner did not answer, as delegate does.
+// handleOwnerFailure decides what to do with a request whose owner did not answer; its results
+// are those of delegate.
 func (g *Gateway) handleOwnerFailure(ctx context.Context, r *request, o *owners.Owner, err error) (outcome, bool) {
 	var failed *forward.Error
 	notSent := !errors.As(err, &failed) || failed.NotRun()
@@ -113,7 +108,7 @@
 	case ctx.Err() != nil:
 		return g.contextOutcome(ctx, r), true
 	case !now.Before(r.deadline):
-		// The connection's own deadline may end the wait just before the context does.
+		// The connection's deadline may expire just before the context does.
 		return deadlineOutcome(r), true
 	}
 	o.Avoid(now)
@@ -121,14 +116,13 @@
 		return outcome{}, false
 	}
 	if r.route.Kind != site.Idempotent || !g.budgetOf(r.service).Take() {
-		return outcome{code: result.ConnectionLost, reason: "owner lost"}, true
+		return outcome{code: result.ConnectionLost, reason: "connection to owner lost"}, true
 	}
-	// The owner may have sent it to a target, so that one more sending is left.
+	// The owner may have sent it to a target, so allow one more attempt.
 	r.attempts = max(1, r.route.MaxAttempts-1)
 	return outcome{}, false
 }
 
-// sendToOwner sends a request to its owner.
 func (g *Gateway) sendToOwner(ctx context.Context, r *request, o *owners.Owner) (*forward.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -148,7 +142,7 @@
 	return conn.Exchange(ctx, &out)
 }
 
-// ownerPool returns the connections to an owner.
+// ownerPool returns the connection pool of an owner.
 func (g *Gateway) ownerPool(o *owners.Owner) *pool.Pool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,27 +154,27 @@
 	return p
 }
 
-// delegatedOutcome is what an owner's answer says.
+// delegatedOutcome converts an owner's answer to an outcome.
 func delegatedOutcome(a *forward.Answer) outcome {
 	code := result.OK
 	if number, err := strconv.Atoi(a.Header.Get(result.HeaderResult)); err == nil {
 		code = result.Code(number)
 	}
 	if code == result.OK {
-		// The answer is a target's own, with none of the VM's fields.
+		// The answer of a target is passed on without the fields of the VMs.
 		a.Header.Del(result.HeaderResult)
 	}
 	a.Header.Del(fieldOwnerMillis)
 	return outcome{code: code, answer: a}
 }
 
-// ownerTime is how long an owner took itself for its answer, if it says so.
+// ownerTime returns the owner's processing time, if the answer states it.
 func ownerTime(a *forward.Answer) (time.Duration, bool) {
 	millis, err := strconv.ParseInt(a.Header.Get(fieldOwnerMillis), 10, 64)
 	return time.Duration(millis) * time.Millisecond, err == nil
 }
 
-// delegationResult names how a delegation ended, for the counters.
+// delegationResult returns the metric tag for the end of a delegation.
 func delegationResult(a *forward.Answer, err error) string {
 	switch {
 	case err != nil:
--- a/edge/gateway/delegate_test.go
+++ b/edge/gateway/delegate_test.go
@@ -18,7 +18,7 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// setOwners has three other VMs at one address own most keys.
+// setOwners adds three other VMs, all at one address, which own most keys.
 func (f *fixture) setOwners(peer string) {
 	var vms []site.VM
 	for _, name := range []string{"b", "c", "d"} {
@@ -27,7 +27,7 @@
 	f.options.Owners.SetVMs(vms, func(site.VM) bool { return true })
 }
 
-// peerKey is a key that another VM owns.
+// peerKey returns a key that another VM owns.
 func (f *fixture) peerKey(t *testing.T) string {
 	t.Helper()
 	for i := range 100 {
@@ -50,7 +50,7 @@
 	}
 }
 
-// servePeers serves the requests that other VMs pass on.
+// servePeers serves delegated requests and returns the address.
 func (f *fixture) servePeers(t *testing.T) string {
 	t.Helper()
 	log := logrus.New()
@@ -68,9 +68,9 @@
 	return s.Address()
 }
 
-// Callers ask one VM for a key that another one owns. The owner sends the request, the
-// caller gets its answer whole, and neither caller nor target sees the fields between VMs.
-func TestOwnerDecidesOnItsKeys(t *testing.T) {
+// The owner of a key places its requests. The caller gets the complete answer, and neither
+// caller nor target sees the header fields between VMs.
+func TestOwnerPlacesRequestsOfItsKeys(t *testing.T) {
 	var seen http.Header
 	s := startTarget(t, "a", func(w *bufio.Writer, r *http.Request, body string) bool {
 		seen = r.Header
@@ -97,8 +97,8 @@
 	}
 }
 
-// An owner refuses a request for want of slots. The caller gets that refusal with its time.
-func TestRefusalOfTheOwnerReachesTheCaller(t *testing.T) {
+// A refusal by the owner reaches the caller with its Retry-After.
+func TestRefusalByOwnerReachesCaller(t *testing.T) {
 	asked, owner := newGateway(t, startTarget(t, "a", ok)), newGateway(t, startTarget(t, "a", shed))
 	asked.setOwners(owner.servePeers(t))
 	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", asked.peerKey(t), time.Second, ""))
@@ -107,8 +107,8 @@
 	}
 }
 
-// A new configuration reaches the owner of a key before the VM that its callers ask, or
-// after it. The VM would seem to go back to the old one; it decides itself meanwhile.
+// An owner with another configuration version declines a request, and the VM that the caller
+// connected to places it.
 func TestOwnerAtAnotherVersionDeclines(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked, owner := newGateway(t, s), newGateway(t, s)
@@ -120,11 +120,11 @@
 		t.Errorf("%d, %d requests at the target", a.Status, s.count())
 	}
 	if strings.Contains(asked.logText(), "request delegated") {
-		t.Error("an owner at another version decided")
+		t.Error("placed by an owner at another version")
 	}
 }
 
-// startPeer is a peer that treats each connection by a function.
+// startPeer starts a peer that passes each connection to handle, and returns its address.
 func startPeer(t *testing.T, handle func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -144,9 +144,9 @@
 	return l.Addr().String()
 }
 
-// An owner dies with a request. It may have run, so that an order is not sent again and
-// its caller learns that the outcome is unknown; a look-up is sent once more.
-func TestOwnerThatDiesWithARequest(t *testing.T) {
+// When an owner crashes during a request, an idempotent request is retried once; any other
+// ends with an unknown outcome.
+func TestOwnerCrashesDuringRequest(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked := newGateway(t, s)
 	asked.setOwners(startPeer(t, func(c net.Conn) {
@@ -156,7 +156,7 @@
 	key := asked.peerKey(t)
 	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", key, time.Second, ""))
 	if a.Status != http.StatusBadGateway || s.count() != 0 {
-		t.Errorf("order: %d, %d requests at the target", a.Status, s.count())
+		t.Errorf("at-most-once request: %d, %d requests at the target", a.Status, s.count())
 	}
 	asked.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
@@ -164,13 +164,12 @@
 	}))
 	a = asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "8", asked.peerKey(t), time.Second, ""))
 	if a.Status != http.StatusOK || s.count() != 1 {
-		t.Errorf("look-up: %d, %d requests at the target", a.Status, s.count())
+		t.Errorf("idempotent request: %d, %d requests at the target", a.Status, s.count())
 	}
 }
 
-// An owner has lost its process. Nothing was sent, so that even an order is served by the
-// VM that was asked, and the next ones do not try the owner again for a while.
-func TestUnreachableOwnerIsPassedBy(t *testing.T) {
+// When an owner refuses connections, the VM places even at-most-once requests itself.
+func TestUnreachableOwnerIsBypassed(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked := newGateway(t, s)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -188,9 +187,9 @@
 	}
 }
 
-// An owner is cut off and never answers. Look-ups are served elsewhere once it is taken to
-// be unresponsive; an order may have run, and waits for its time.
-func TestUnresponsiveOwnerEndsTheWait(t *testing.T) {
+// Once an owner is considered unresponsive, idempotent requests are placed elsewhere; others
+// wait until their deadline, as they may have run.
+func TestUnresponsiveOwner(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked := newGateway(t, s)
 	arrived := make(chan struct{}, 2)
@@ -208,7 +207,7 @@
 	<-arrived
 	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
 	if a := <-answers; a.Status != http.StatusOK || s.count() != 1 {
-		t.Errorf("look-up: %d, %d requests at the target", a.Status, s.count())
+		t.Errorf("idempotent request: %d, %d requests at the target", a.Status, s.count())
 	}
 	asked.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
@@ -222,6 +221,6 @@
 	<-arrived
 	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
 	if a := <-answers; a.Status != http.StatusGatewayTimeout || s.count() != 1 {
-		t.Errorf("order: %d, %d requests at the target", a.Status, s.count())
+		t.Errorf("at-most-once request: %d, %d requests at the target", a.Status, s.count())
 	}
 }
--- a/edge/gateway/dial.go
+++ b/edge/gateway/dial.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// connectMargin is how long a connection may take beyond its round trips: a
-	// busy target takes a millisecond, a first lost packet a second.
+	// connectMargin is added to the round trips for the connect timeout. It covers a busy
+	// target, not the retransmission of a lost SYN.
 	connectMargin = 250 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay without an acknowledgement. A
-	// target without power gives none; three lost packets in a row take 600 ms.
+	// unackedTimeout is how long sent data may stay unacknowledged, besides the round trips.
+	// It detects a target without power, and tolerates a few lost packets in a row.
 	unackedTimeout = 900 * time.Millisecond
 )
 
-// dialer opens connections to targets at a network delay there and back.
-func dialer(delay time.Duration) pool.Dial {
+// dialer returns a TCP dial function for targets at a given round-trip time.
+func dialer(rtt time.Duration) pool.Dial {
 	d := net.Dialer{
-		Timeout:   connectMargin + 2*delay,
+		Timeout:   connectMargin + 2*rtt,
 		KeepAlive: -1,
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
-			control := raw.Control(func(fd uintptr) {
-				millis := int((unackedTimeout + 2*delay).Milliseconds())
+			controlErr := raw.Control(func(fd uintptr) {
+				millis := int((unackedTimeout + 2*rtt).Milliseconds())
 				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, millis)
 			})
-			if control != nil {
-				return control
+			if controlErr != nil {
+				return controlErr
 			}
 			return err
 		},
--- a/edge/gateway/ended.go
+++ b/edge/gateway/ended.go
@@ -15,11 +15,11 @@
 	"github.com/yuccaroute/yuccaroute/proxy/pool"
 )
 
-// targetCheckDelay is how long after a lost connection its target is looked at: a process that ends
-// closes its connections one after the other, and its listener among them.
+// targetCheckDelay is the time from a lost connection to the check of its target: a process
+// that exits may close its listener after its connections.
 const targetCheckDelay = 20 * time.Millisecond
 
-// fingerprint is what the request is known by when it is repeated.
+// fingerprint identifies the request across retries by its content.
 func (g *Gateway) fingerprint(r *request) quarantine.Fingerprint {
 	if r.fingerprint == nil {
 		f := quarantine.FingerprintOf(quarantine.Content{
@@ -33,8 +33,8 @@
 	return *r.fingerprint
 }
 
-// recordUnanswered remembers a request that a target may have begun and did not answer, and looks
-// whether the target has ended.
+// recordUnanswered remembers a request that a target may have started and did not answer, and
+// checks whether the target has crashed.
 func (g *Gateway) recordUnanswered(r *request, a attempt) {
 	target := a.decision.Target
 	key := poolKey(&target.Target)
@@ -51,15 +51,14 @@
 	}
 }
 
-// lostRequest is a request that a target did not answer, which its log line tells too.
+// lostRequest marks a request as unanswered in its log fields and returns its record.
 func (g *Gateway) lostRequest(r *request) lostRequest {
 	r.log.unanswered = true
 	return lostRequest{id: r.id, fingerprint: g.fingerprint(r), lostAt: time.Now()}
 }
 
-// checkTarget connects to a target that has lost requests, once for all that it lost at the same
-// time. One that has ended refuses: a connection that was only reset, or whose answer was lost,
-// does not, and a target without power does not answer.
+// checkTarget connects to a target that has lost requests, once for all requests lost at about
+// the same time. Only a target whose process has ended refuses the connection.
 func (g *Gateway) checkTarget(t *placing.Target, key string) {
 	ctx := context.Background()
 	wait.For(ctx, targetCheckDelay)
@@ -72,8 +71,8 @@
 	g.recordTargetCheck(t, key, lost, err)
 }
 
-// recordTargetCheck takes in how a target was found that lost requests: err is that of connecting to it.
-// If it has ended without a plan, what it had is counted against the requests.
+// recordTargetCheck logs the requests that a target lost, and reports them to the quarantine if
+// the target ended unplanned. err is the error of connecting to the target.
 func (g *Gateway) recordTargetCheck(t *placing.Target, key string, lost []lostRequest, err error) {
 	ended := errors.Is(err, syscall.ECONNREFUSED)
 	if ended {
@@ -90,19 +89,18 @@
 	}
 }
 
-// reportCrash counts the end of a target against the requests that it had.
+// reportCrash reports the requests that a crashed target had to the quarantine.
 func (g *Gateway) reportCrash(key string, lost []lostRequest) {
 	if g.options.Quarantine == nil {
 		return
 	}
 	now := time.Now()
 	for _, l := range lost {
-		// 0 names no target.
+		// 0 is not a valid target.
 		g.options.Quarantine.Ended(now, l.fingerprint, placing.HashOf(key)|1)
 	}
 }
 
-// logLostRequests tells what was found at a target that lost requests, and which requests these were.
 func (g *Gateway) logLostRequests(t *placing.Target, lost []lostRequest, err error, ended, planned bool) {
 	ids, fingerprints := make([]string, len(lost)), make([]string, len(lost))
 	for i, l := range lost {
--- a/edge/gateway/ended_test.go
+++ b/edge/gateway/ended_test.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// waitFor waits for a condition.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor polls a condition and fails the test with message if it never holds.
+func waitFor(t *testing.T, message string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > time.Minute {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
 
-// Guards against a log that does not tell a target that ended from a connection that broke.
-func TestLogTellsEndedTargetsFromLostConnections(t *testing.T) {
-	for name, ends := range map[string]bool{"target ends": true, "connection breaks": false} {
+// The log must distinguish a crashed target from a lost connection.
+func TestLogDistinguishesCrashFromLostConnection(t *testing.T) {
+	for name, ends := range map[string]bool{"target crashes": true, "connection lost": false} {
 		t.Run(name, func(t *testing.T) {
 			var s *target
 			s = startTarget(t, "a", func(*bufio.Writer, *http.Request, string) bool {
@@ -32,7 +32,7 @@
 			})
 			f := newGateway(t, s)
 			f.ask(context.Background(), "POST", "/once/x", "7", time.Second, "order")
-			waitFor(t, "no line on the lost request", func() bool {
+			waitFor(t, "no log line for the lost request", func() bool {
 				return strings.Contains(f.logText(), "gateway: requests lost at a target")
 			})
 			want := `"ended":false`
--- a/edge/gateway/fixture_test.go
+++ b/edge/gateway/fixture_test.go
@@ -27,10 +27,10 @@
 	NotRun: "X-Not-Run", TargetID: "X-Target", Load: "X-Load", ColdMillis: "X-Cold",
 }
 
-// script answers one request; it returns false to close the connection.
+// script answers one request and returns false to close the connection.
 type script func(w *bufio.Writer, r *http.Request, body string) bool
 
-// target is a scripted target that counts what reached it.
+// target is a scripted target that records the requests it receives.
 type target struct {
 	id       string
 	listener net.Listener
@@ -83,7 +83,7 @@
 	}
 }
 
-// address is the listener's, or made up for a target that is reached without one.
+// address returns the listener's address, or a synthetic one for a target without a listener.
 func (s *target) address() string {
 	if s.listener == nil {
 		return s.id + ":1"
@@ -97,19 +97,19 @@
 	return len(s.ids)
 }
 
-// ok answers with the target's mark.
+// ok answers with success and the target's stamp.
 func ok(w *bufio.Writer, r *http.Request, _ string) bool {
 	fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Stamp: s\r\nContent-Length: 4\r\n\r\ndone", r.Header.Get("X-Id"))
 	return true
 }
 
-// shed refuses a request unrun.
+// shed refuses the request without running it.
 func shed(w *bufio.Writer, r *http.Request, _ string) bool {
 	io.WriteString(w, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// hangUp closes after the request.
+// hangUp closes the connection after reading the request.
 func hangUp(*bufio.Writer, *http.Request, string) bool { return false }
 
 type noMetrics struct{}
@@ -119,7 +119,7 @@
 func (noMetrics) RequestDelegated(string)                         {}
 func (noMetrics) TargetCrashed(string)                            {}
 
-// fixture is a gateway before targets.
+// fixture is a gateway that captures its log.
 type fixture struct {
 	*Gateway
 	logs *bytes.Buffer
@@ -132,7 +132,7 @@
 	return f.logs.Write(p)
 }
 
-// logText is the log so far.
+// logText returns the log so far.
 func (f *fixture) logText() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,7 +144,7 @@
 	return newGatewayOn(t, nil, targets...)
 }
 
-// newGatewayOn reaches targets by dial, nil for TCP.
+// newGatewayOn returns a gateway that connects to targets by dial; nil means TCP.
 func newGatewayOn(t *testing.T, dial func(time.Duration) pool.Dial, targets ...*target) *fixture {
 	t.Helper()
 	f := &fixture{logs: &bytes.Buffer{}}
@@ -165,7 +165,7 @@
 	return f
 }
 
-// setTargets puts targets in force.
+// setTargets applies a view with the given targets.
 func (f *fixture) setTargets(draining bool, targets ...*target) {
 	v := &catalog.View{Config: &site.Config{
 		Version:  3,
@@ -185,7 +185,7 @@
 	f.SetView(v, time.Now())
 }
 
-// drain has a target leave.
+// drain marks a target as draining.
 func (f *fixture) drain(s *target) { f.setTargets(true, s) }
 
 func (f *fixture) ask(ctx context.Context, method, path, id string, deadline time.Duration, body string) *serve.Answer {
@@ -195,7 +195,7 @@
 	})
 }
 
-// badAndGoodTargets returns two targets of which one follows the script and the other one is sound.
+// badAndGoodTargets starts a target that follows the script and one that answers with success.
 func badAndGoodTargets(t *testing.T, bad script) (*target, *target) {
 	return startTarget(t, "bad", bad), startTarget(t, "good", ok)
 }
--- a/edge/gateway/gateway.go
+++ b/edge/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway carries requests from callers to targets. It keeps three
-// promises: a caller gets the whole answer to its own request or learns it, "not
-// run" is only said when it is certain, and work that must not run twice is never
-// sent again after it may have run.
+// Package gateway forwards requests from callers to targets. It guarantees that a
+// caller gets either the complete answer to its own request or an error, that "not
+// run" is reported only when it is certain, and that a request that must not run
+// twice is not retried once it may have run.
 package gateway
 
 import (
@@ -23,27 +23,26 @@
 )
 
 const (
-	// budgetFraction is the part of the deployment's retry budget that is used: the
-	// sum over all VMs must stay below it also while they disagree on their number.
+	// budgetFraction is the part of the deployment's retry budget that the VMs use in
+	// total. The rest covers the time during which they disagree on how many they are.
 	budgetFraction = 0.85
-	// defaultIdleTimeout is how long an idle connection is kept to a target that has not
-	// stated when it closes them.
+	// defaultIdleTimeout applies to targets that have not sent a Keep-Alive timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// connectionFraction is the part of a target's connections that the VMs use in sum.
+	// connectionFraction is the part of a target's MaxConnections that all VMs together use.
 	connectionFraction = 0.6
-	// minConnections is the least number of connections to one target.
+	// minConnections is the lowest connection limit of a VM for one target.
 	minConnections = 8
 )
 
-// Metrics counts what happens to requests.
+// Metrics counts requests, attempts and target crashes.
 type Metrics interface {
-	// RequestEnded counts a request that ended with a numbered result.
+	// RequestEnded counts a request by its result code.
 	RequestEnded(route, service string, code int, took time.Duration)
-	// AttemptEnded counts one sending to a target.
+	// AttemptEnded counts one attempt at a target.
 	AttemptEnded(service, end string)
-	// RequestDelegated counts one request that was passed on to the owner of its key.
+	// RequestDelegated counts one request that was delegated to the owner of its key.
 	RequestDelegated(end string)
-	// TargetCrashed counts one target that ended without a plan while requests ran there.
+	// TargetCrashed counts a target that stopped unplanned while it had requests.
 	TargetCrashed(service string)
 }
 
@@ -53,45 +52,44 @@
 	Balancer *placing.Balancer
 	Logger   *logrus.Entry
 	Metrics  Metrics
-	// RetryRatio and RetryExtra bound the sendings beyond the first of each
-	// request, of all VMs together, in a window.
+	// RetryRatio and RetryExtra bound the retries of all VMs together in a window.
 	RetryRatio, RetryExtra float64
-	// VMCount returns how many VMs share the budget.
+	// VMCount returns how many VMs share the retry budget.
 	VMCount func() int
 	// RTT returns the round-trip time to a region.
 	RTT func(region string) time.Duration
-	// InFlightChanged is told when the requests in flight changed. It must not block.
+	// InFlightChanged is called when the requests in flight change. It must not block.
 	InFlightChanged func()
-	// Owners names the VM that decides on a key; nil if this one decides on all.
+	// Owners maps keys to the VMs that place their requests; nil if this VM places all.
 	Owners *owners.Table
-	// Quarantine knows the requests that end targets; nil if none is kept from them.
+	// Quarantine holds the requests that crash targets; nil disables the check.
 	Quarantine *quarantine.Quarantine
 	// MaxAnswerBytes bounds one answer.
 	MaxAnswerBytes int64
-	// Dial returns how connections to targets at a network delay, there and back, are
-	// opened; nil means by TCP.
-	Dial func(delay time.Duration) pool.Dial
+	// Dial returns the function that connects to targets at a given round-trip time;
+	// nil means TCP.
+	Dial func(rtt time.Duration) pool.Dial
 }
 
 // Gateway is safe for use by several goroutines.
 type Gateway struct {
 	options Options
 	table   atomic.Pointer[route.Table]
-	// maxConnections bounds those to one target, by service.
+	// maxConnections is the limit of connections to one target, by service.
 	maxConnections atomic.Pointer[map[string]int]
 	leaving        atomic.Bool
 	losses         *losses
 
 	mu sync.Mutex
-	// pools are by poolKey.
+	// pools is keyed by poolKey.
 	pools map[string]*pool.Pool
-	// ownerPools are by the address of the owner.
+	// ownerPools is keyed by the owner's peer address.
 	ownerPools map[string]*pool.Pool
 	budgets    map[string]*retrybudget.Budget
 }
 
-// New returns a gateway without a configuration: it refuses every request as not
-// run until SetView brings one.
+// New returns a gateway without a configuration: until SetView provides one, it
+// refuses every request as not run.
 func New(o Options) *Gateway {
 	if o.Dial == nil {
 		o.Dial = dialer
@@ -102,7 +100,7 @@
 	}
 }
 
-// SetView puts a view in force: routes first, then targets.
+// SetView applies a view: routes first, then targets.
 func (g *Gateway) SetView(v *catalog.View, now time.Time) {
 	if v.Config == nil {
 		return
@@ -138,10 +136,10 @@
 	return 0
 }
 
-// Leave refuses new requests as not run.
+// Leave makes the gateway refuse new requests as not run.
 func (g *Gateway) Leave() { g.leaving.Store(true) }
 
-// closePools closes the connections to targets that are gone.
+// closePools closes the connections to targets that are no longer listed.
 func (g *Gateway) closePools(listed map[string]bool) {
 	g.mu.Lock()
 	var gone []*pool.Pool
@@ -157,13 +155,13 @@
 	}
 }
 
-// poolKey names one start of a target: connections to an earlier one are dead. It reads only
-// what never changes of a listed target, as the balancer sets the rest meanwhile.
+// poolKey identifies one incarnation of a target: connections to an earlier one are dead. It
+// reads only immutable fields, since the balancer may modify the others concurrently.
 func poolKey(t *site.Target) string {
 	return t.ID + " " + t.Address + " " + strconv.FormatInt(t.StartedMillis, 36)
 }
 
-// poolOf returns the connections to a target.
+// poolOf returns the connection pool of a target.
 func (g *Gateway) poolOf(t *placing.Target) *pool.Pool {
 	connections := 0
 	if known := g.maxConnections.Load(); known != nil {
@@ -182,7 +180,7 @@
 	return p
 }
 
-// budgetOf returns what this VM may send again to a service.
+// budgetOf returns this VM's retry budget for a service.
 func (g *Gateway) budgetOf(service string) *retrybudget.Budget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/edge/gateway/gateway_test.go
+++ b/edge/gateway/gateway_test.go
@@ -14,9 +14,9 @@
 	"github.com/yuccaroute/yuccaroute/edge/serve"
 )
 
-// A VM has no configuration yet. It must say that it has not run the request, not that
-// there is no such route: callers do not come back after that.
-func TestWithoutConfigurationNothingIsDenied(t *testing.T) {
+// Before the first configuration a request is refused as not run, not as an unknown route,
+// which callers do not retry.
+func TestRequestWithoutConfigurationIsRetryable(t *testing.T) {
 	a := newGateway(t).ask(context.Background(), "GET", "/safe/x", "1", time.Second, "")
 	if a.Status != http.StatusServiceUnavailable || a.Header.Get("Retry-After") == "" {
 		t.Fatalf("%d %v", a.Status, a.Header)
@@ -30,8 +30,9 @@
 	}
 }
 
-// A target refuses requests unrun. Each is sent to the other one, whatever its kind.
-func TestUnrunRequestIsSentAgain(t *testing.T) {
+// A request that a target refuses unrun is retried at another one, even if it must run at
+// most once.
+func TestUnrunRequestIsRetried(t *testing.T) {
 	bad, good := badAndGoodTargets(t, shed)
 	f := newGateway(t, bad, good)
 	for i := range 8 {
@@ -41,13 +42,13 @@
 		}
 	}
 	if bad.count() == 0 {
-		t.Error("no request met the target that refuses")
+		t.Error("no request reached the refusing target")
 	}
 }
 
-// A target closes the connection after it has read an order. It may have run, so it is
-// neither sent again nor called "not run".
-func TestOrderIsNotSentAgainAfterALoss(t *testing.T) {
+// A request that must run at most once is neither retried nor reported as not run after the
+// target has closed the connection.
+func TestAtMostOnceRequestIsNotRetriedAfterLoss(t *testing.T) {
 	bad, other := startTarget(t, "a", hangUp), startTarget(t, "b", hangUp)
 	f := newGateway(t, bad, other)
 	a := f.ask(context.Background(), "POST", "/once/x", "1", time.Second, "order")
@@ -59,8 +60,8 @@
 	}
 }
 
-// The same for a look-up: it is sent again, to at most as many targets as its route says.
-func TestLookupIsSentAgainAfterALoss(t *testing.T) {
+// An idempotent request is retried after a lost connection, up to MaxAttempts of its route.
+func TestIdempotentRequestIsRetriedAfterLoss(t *testing.T) {
 	bad, good := badAndGoodTargets(t, hangUp)
 	f := newGateway(t, bad, good)
 	for i := range 6 {
@@ -76,9 +77,9 @@
 	}
 }
 
-// A look-up is lost at one target, and the other one refuses it unrun. It may have run, so
-// that its caller is not told that it has not.
-func TestNotRunIsNotSaidOfALostLookup(t *testing.T) {
+// A request lost at one target and refused by the next may have run, and must not be
+// reported as not run.
+func TestLostThenRefusedRequestIsNotReportedAsNotRun(t *testing.T) {
 	for i := range 6 {
 		bad, full := startTarget(t, "lost", hangUp), startTarget(t, "full", shed)
 		f := newGateway(t, bad, full)
@@ -89,8 +90,8 @@
 	}
 }
 
-// A target's own failure of an order is passed on as it is.
-func TestTargetsFailureIsPassedOn(t *testing.T) {
+// An error response of a target reaches the caller unchanged.
+func TestTargetErrorResponseIsForwarded(t *testing.T) {
 	f := newGateway(t, startTarget(t, "a", func(w *bufio.Writer, r *http.Request, _ string) bool {
 		fmt.Fprintf(w, "HTTP/1.1 500 Internal Server Error\r\nX-Stamp: s\r\nX-Id: %s\r\nContent-Length: 3\r\n\r\nbad", r.Header.Get("X-Id"))
 		return true
@@ -103,13 +104,13 @@
 	}
 }
 
-// A target answers with success but without its mark, or cuts its answer. Neither is a
-// success to the caller.
-func TestSpoiltAnswers(t *testing.T) {
+// Success responses without the target's stamp, truncated ones and malformed ones must not
+// reach the caller as success.
+func TestInvalidAnswers(t *testing.T) {
 	for what, text := range map[string]string{
-		"no mark":    "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
+		"no stamp":   "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone",
 		"cut":        "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nContent-Length: 40\r\n\r\ndone",
-		"no answer":  "NONSENSE\r\n\r\n",
+		"malformed":  "NONSENSE\r\n\r\n",
 		"other's id": "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nX-Id: other\r\nContent-Length: 4\r\n\r\ndone",
 	} {
 		f := newGateway(t, startTarget(t, "a", func(w *bufio.Writer, _ *http.Request, _ string) bool {
@@ -123,8 +124,7 @@
 	}
 }
 
-// A target gives the answer to an earlier request a second time, right before the
-// awaited one. The caller must get its own.
+// A repeated answer to an earlier request on the same connection must not reach the caller.
 func TestStrayAnswerIsSkipped(t *testing.T) {
 	f := newGateway(t, startTarget(t, "a", func(w *bufio.Writer, r *http.Request, _ string) bool {
 		io.WriteString(w, "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nX-Id: earlier\r\nContent-Length: 5\r\n\r\nwrong")
@@ -135,7 +135,7 @@
 	}
 }
 
-// A target ends its answer by closing the connection, in order.
+// An answer without Content-Length ends when the target closes the connection.
 func TestAnswerWithoutLength(t *testing.T) {
 	f := newGateway(t, startTarget(t, "a", func(w *bufio.Writer, r *http.Request, _ string) bool {
 		fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nX-Stamp: s\r\nX-Id: %s\r\n\r\nall of it", r.Header.Get("X-Id"))
@@ -147,9 +147,8 @@
 	}
 }
 
-// What goes to a target: the request as it came, the time that is left, and the name of
-// the target that is meant.
-func TestWhatIsSent(t *testing.T) {
+// A target receives the request unchanged, with the remaining time and its own id.
+func TestForwardedRequest(t *testing.T) {
 	got := make(chan *http.Request, 1)
 	f := newGateway(t, startTarget(t, "a", func(w *bufio.Writer, r *http.Request, body string) bool {
 		got <- r
@@ -169,8 +168,8 @@
 	}
 }
 
-// The caller leaves. The target must see that at once.
-func TestLeavingCallerFreesTheTarget(t *testing.T) {
+// Handle returns without an answer as soon as the caller has disconnected.
+func TestCallerDisconnectEndsRequest(t *testing.T) {
 	begun, over := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	s := startTarget(t, "a", func(w *bufio.Writer, r *http.Request, _ string) bool {
@@ -185,14 +184,13 @@
 	<-begun
 	leave()
 	if a := <-done; a != nil {
-		t.Errorf("an answer for nobody: %d", a.Status)
+		t.Errorf("answered %d after the caller disconnected", a.Status)
 	}
 	close(over)
 }
 
-// A target is silent. The caller learns at its time that nobody knows whether the
-// order ran.
-func TestSilentTarget(t *testing.T) {
+// A request at a target that never answers ends at its deadline with an unknown outcome.
+func TestUnresponsiveTarget(t *testing.T) {
 	over := make(chan struct{})
 	defer close(over)
 	silent := func(*bufio.Writer, *http.Request, string) bool { <-over; return false }
@@ -202,8 +200,8 @@
 	}
 }
 
-// No target can be reached. The request has not run and the caller may come back.
-func TestNoTargetToBeReached(t *testing.T) {
+// A request is refused as not run if no target accepts a connection.
+func TestNoReachableTarget(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	s.listener.Close()
 	f := newGateway(t, s)
@@ -213,9 +211,8 @@
 	}
 }
 
-// An engineer has the id of a failed order and the log. One line must name the route,
-// the version of its configuration, the target, how the sending ended and why.
-func TestFailureIsFoundByItsID(t *testing.T) {
+// The log line of a failed request must contain what is needed to explain the failure.
+func TestFailedRequestIsLoggedInOneLine(t *testing.T) {
 	f := newGateway(t, startTarget(t, "a", hangUp))
 	for i := range 5 {
 		f.ask(context.Background(), "POST", "/once/x", fmt.Sprint("order-", i), time.Second, "order")
--- a/edge/gateway/hedge_test.go
+++ b/edge/gateway/hedge_test.go
@@ -14,19 +14,20 @@
 	"github.com/yuccaroute/yuccaroute/proxy/pool"
 )
 
-// An object is asked for the first time and takes three times as long as usual. It must
-// not be sent to a second target for that, which would run it cold as well.
-func TestColdRunIsNotSentTwice(t *testing.T) {
+// Guards against hedging a cold run, which takes three times as long as a warm one: the
+// second target would run it cold as well.
+func TestColdRunIsNotHedged(t *testing.T) {
 	const warm, left = 110 * time.Millisecond, 2 * time.Second
 	if got := hedgeDelay(warm, left); got < 3*warm {
-		t.Errorf("sent again after %v, a cold run takes %v", got, 3*warm)
+		t.Errorf("hedged after %v, a cold run takes %v", got, 3*warm)
 	}
 	if got := hedgeDelay(time.Second, left); got > left/2 {
-		t.Errorf("sent again after %v of %v: the second target needs the rest", got, left)
+		t.Errorf("hedged after %v of %v: not enough time left for the second target", got, left)
 	}
 }
 
-// pipeDialer reaches scripted targets through memory, so that a test can run in virtual time.
+// pipeDialer connects to scripted targets by in-memory pipes, so that a test can run in
+// virtual time.
 func pipeDialer(scripts map[*target]script) func(time.Duration) pool.Dial {
 	dial := func(_ context.Context, address string) (net.Conn, error) {
 		for s, answer := range scripts {
@@ -41,8 +42,8 @@
 	return func(time.Duration) pool.Dial { return dial }
 }
 
-// One of two targets has lost power with a look-up in hand. The other one answers it.
-func TestSilentTargetOfALookupIsPassedBy(t *testing.T) {
+// An idempotent request at a target that never answers is answered by another target.
+func TestIdempotentRequestIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		over := make(chan struct{})
 		silent := func(*bufio.Writer, *http.Request, string) bool { <-over; return false }
@@ -54,7 +55,7 @@
 			}
 		}
 		if bad.count() == 0 {
-			t.Error("the silent target was not asked")
+			t.Error("no request reached the unresponsive target")
 		}
 		close(over)
 		f.closePools(nil)
@@ -62,9 +63,9 @@
 	})
 }
 
-// One of three targets has lost power with a look-up in hand, and another one refuses all.
-// The caller waited for its deadline when the second target was the one that refuses.
-func TestSecondTargetThatRefusesIsNotTheLast(t *testing.T) {
+// A hedged request goes to a third target if the second one refuses it, instead of waiting
+// for its deadline.
+func TestRefusedHedgeIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		over := make(chan struct{})
 		silent := func(*bufio.Writer, *http.Request, string) bool { <-over; return false }
--- a/edge/gateway/keepalive.go
+++ b/edge/gateway/keepalive.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// idleMargin is how much earlier than the target a connection is given up: a
-// request that crosses the target's close ends as unknown.
+// idleMargin is how much earlier than the target an idle connection is closed: the outcome
+// of a request sent while the target closes the connection is unknown.
 const idleMargin = 1500 * time.Millisecond
 
-// keepAliveTimeout returns how long an idle connection may be kept, by what the target
-// says about closing it.
+// keepAliveTimeout returns how long to keep an idle connection by the timeout of the target's
+// Keep-Alive header, and false without one.
 func keepAliveTimeout(h http.Header) (time.Duration, bool) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/edge/gateway/large_test.go
+++ b/edge/gateway/large_test.go
@@ -9,9 +9,8 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// Reports of 90 KB were fetched from another region: each took several round trips and
-// came late, and the bytes between regions were used up by them.
-func TestLargeBodiesAndAnswersStayNear(t *testing.T) {
+// Guards against large bodies and answers that cross regions.
+func TestIsLarge(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		route site.Route
--- a/edge/gateway/losses.go
+++ b/edge/gateway/losses.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	// maxLostPerTarget bounds the requests that are remembered of one target.
+	// maxLostPerTarget bounds each list of requests of one target.
 	maxLostPerTarget = 64
-	// abandonedTTL is how long a request is remembered that a target was still working on when
-	// its caller left or its time was over: it may end the target all the same.
+	// abandonedTTL is how long an abandoned request is remembered: the target may still be
+	// running it, and crash.
 	abandonedTTL = 3 * time.Second
 )
 
-// lostRequest is a request that a target began and whose answer did not come.
+// lostRequest is a request that a target may have started and did not answer.
 type lostRequest struct {
 	id          string
 	fingerprint quarantine.Fingerprint
 	lostAt      time.Time
 }
 
-// losses are the requests that targets began and did not answer, by poolKey of the target.
+// losses holds the unanswered requests of each target by poolKey.
 type losses struct {
 	mu sync.Mutex
-	// lost are those whose connections broke a moment ago, abandoned those that were given up.
+	// lost holds requests whose connection broke and whose target is to be checked, abandoned
+	// those whose caller left or whose deadline passed.
 	lost, abandoned map[string][]lostRequest
 }
 
@@ -34,7 +35,7 @@
 	return &losses{lost: make(map[string][]lostRequest), abandoned: make(map[string][]lostRequest)}
 }
 
-// addLost reports whether the request is the first one of those to look for.
+// addLost reports whether the list was empty, so that the caller has to check the target.
 func (l *losses) addLost(key string, r lostRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,7 +56,7 @@
 	l.abandoned[key] = list
 }
 
-// takeLost returns the requests whose connections broke.
+// takeLost removes and returns the lost requests of a target.
 func (l *losses) takeLost(key string) []lostRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +65,7 @@
 	return list
 }
 
-// takeAbandoned returns the requests that were given up lately.
+// takeAbandoned removes and returns the requests of a target abandoned within abandonedTTL.
 func (l *losses) takeAbandoned(key string, now time.Time) []lostRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +74,7 @@
 	return list
 }
 
-// removeUnlisted drops what is remembered of targets that are not listed.
+// removeUnlisted drops the abandoned requests of targets that are no longer listed.
 func (l *losses) removeUnlisted(listed map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// dropExpired returns the requests that were given up within abandonedFor.
+// dropExpired removes, in place, the requests older than abandonedTTL.
 func dropExpired(list []lostRequest, now time.Time) []lostRequest {
 	return slices.DeleteFunc(list, func(r lostRequest) bool { return now.Sub(r.lostAt) > abandonedTTL })
 }
--- a/edge/gateway/probe.go
+++ b/edge/gateway/probe.go
@@ -10,11 +10,11 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// probeTimeout bounds a probe beyond the network's delay. A busy target answers when
-// a slot is free.
+// probeTimeout bounds a probe, besides the round-trip time. A busy target answers it only
+// when a slot is free.
 const probeTimeout = 700 * time.Millisecond
 
-// Probe asks the suspects for their health and readmits those that are well.
+// Probe checks the health of the targets that are due for a probe and readmits healthy ones.
 func (g *Gateway) Probe(ctx context.Context, healthPath func(service string) string) {
 	for _, t := range g.options.Balancer.Suspects(time.Now()) {
 		go g.probe(ctx, t, healthPath(t.Service))
@@ -53,5 +53,5 @@
 	return healthy, coldRemaining, nil
 }
 
-// maxProbeBytes bounds a health answer.
+// maxProbeBytes bounds the answer to a probe.
 const maxProbeBytes = 4 << 10
--- a/edge/gateway/quarantine.go
+++ b/edge/gateway/quarantine.go
@@ -8,7 +8,7 @@
 	"github.com/yuccaroute/yuccaroute/edge/quarantine"
 )
 
-// verdict decides whether a request may be sent to targets.
+// verdict returns the quarantine's verdict on a request and keeps it for the log.
 func (g *Gateway) verdict(r *request) quarantine.Verdict {
 	if g.options.Quarantine == nil || g.options.Quarantine.IsEmpty() {
 		return quarantine.Verdict{}
@@ -18,8 +18,8 @@
 	return v
 }
 
-// admit refuses a request that is kept from targets. It returns true if the request may go on,
-// one that is due for a trial only at the VM that claims it.
+// admit returns false and the refusal if a request is quarantined. A request that is due for a
+// trial is admitted only by the VM that claims the trial.
 func (g *Gateway) admit(ctx context.Context, r *request) (outcome, bool) {
 	v := g.verdict(r)
 	switch {
@@ -32,23 +32,21 @@
 	return outcome{}, true
 }
 
-// isBlocked reports whether a request is kept from targets.
 func isBlocked(v quarantine.Verdict) bool {
 	return v.Status == quarantine.Quarantined || v.Status == quarantine.TrialDue
 }
 
-// quarantinedOutcome refuses a request that is kept from targets, and tells when it may be sent again.
 func quarantinedOutcome(v quarantine.Verdict) outcome {
 	return outcome{code: result.Quarantined, retryAfter: v.RetryAfter, reason: "targets end when they run it"}
 }
 
-// limitedToOneAttempt reports whether a request must not be sent to a second target: others ended when
-// they ran it.
+// limitedToOneAttempt reports whether a request must not be sent to a second target, because
+// targets crashed while they ran it.
 func (g *Gateway) limitedToOneAttempt(r *request) bool {
 	return r.onTrial || g.verdict(r).Status != quarantine.Clear
 }
 
-// recordAnswered tells of a request that a target answered: it does not end the targets that run it.
+// recordAnswered tells the quarantine of a request that a target answered without crashing.
 func (g *Gateway) recordAnswered(r *request, a attempt) {
 	q := g.options.Quarantine
 	if q == nil || a.answer == nil || isServerError(a.answer) ||
--- a/edge/gateway/quarantine_test.go
+++ b/edge/gateway/quarantine_test.go
@@ -23,7 +23,7 @@
 func (quarantineKeys) QuarantineKey(fingerprint string) string { return fingerprint }
 func (quarantineKeys) Quarantined(key string) (string, bool)   { return key, true }
 
-// withQuarantine gives a gateway a quarantine of its own.
+// withQuarantine gives the gateway a quarantine and returns it.
 func (f *fixture) withQuarantine() *quarantine.Quarantine {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -33,12 +33,12 @@
 	return f.options.Quarantine
 }
 
-// fingerprintOf is that of what ask sends.
+// fingerprintOf returns the fingerprint of a request sent by ask.
 func fingerprintOf(method, path, body string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf(quarantine.Content{Method: method, Host: "h:80", Target: path, Body: []byte(body)})
 }
 
-// recordCrashes has targets recordCrashes under a request, as other VMs tell it.
+// recordCrashes reports, as from another VM, that targets crashed during a request.
 func recordCrashes(q *quarantine.Quarantine, f quarantine.Fingerprint, targets ...uint64) {
 	for _, target := range targets {
 		q.Received(time.Now(), quarantine.Event{Request: f, Target: target}, quarantine.Origin{VM: "other"})
@@ -56,8 +56,8 @@
 	}
 }
 
-// Guards against quarantined requests that reach a target, and others that do not.
-func TestQuarantinedRequestIsRefusedUnrun(t *testing.T) {
+// A quarantined request must not reach a target; other requests must.
+func TestQuarantinedRequestIsRefused(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	f := newGateway(t, s)
 	recordCrashes(f.withQuarantine(), fingerprintOf("POST", "/once/x", "bad"), 1, 2, 3)
@@ -66,14 +66,14 @@
 		t.Error("it reached a target")
 	}
 	if !strings.Contains(f.logText(), `"targets_ended":3`) || !strings.Contains(f.logText(), `"result":"quarantined"`) {
-		t.Errorf("the line does not tell the cause: %s", f.logText())
+		t.Errorf("cause missing in the log: %s", f.logText())
 	}
 	if a := f.ask(context.Background(), "POST", "/once/x", "2", time.Second, "good"); a.Status != http.StatusOK {
 		t.Errorf("%d for another body", a.Status)
 	}
 }
 
-// Guards against a request that has ended two targets and ends two more in one try.
+// Guards against a request that crashed two targets and is then sent to two more.
 func TestSuspectedRequestIsSentOnce(t *testing.T) {
 	a, b := startTarget(t, "a", hangUp), startTarget(t, "b", hangUp)
 	f := newGateway(t, a, b)
@@ -86,8 +86,8 @@
 	}
 }
 
-// Guards against a request that is quarantined while it waits for a slot, and is sent.
-func TestRequestQuarantinedInTheQueueIsNotSent(t *testing.T) {
+// Guards against sending a request that is quarantined while it waits in the queue.
+func TestRequestQuarantinedInQueueIsNotSent(t *testing.T) {
 	free := make(chan struct{})
 	s := startTarget(t, "a", func(w *bufio.Writer, r *http.Request, body string) bool {
 		<-free
@@ -100,7 +100,7 @@
 	for range slots {
 		go func() { answers <- f.ask(context.Background(), "POST", "/once/x", "1", 2*time.Second, "") }()
 	}
-	waitFor(t, "the target never was full", func() bool { return s.count() == slots })
+	waitFor(t, "the target never filled up", func() bool { return s.count() == slots })
 	go func() { answers <- f.ask(context.Background(), "POST", "/once/x", "2", 2*time.Second, "bad") }()
 	waitFor(t, "the request never waited", func() bool { return f.options.Balancer.Waiting() == 1 })
 	recordCrashes(q, fingerprintOf("POST", "/once/x", "bad"), 1, 2, 3)
@@ -117,9 +117,8 @@
 	}
 }
 
-// Guards against an innocent request that stays refused: a target that answers it, as it was
-// sent already, clears it.
-func TestAnswerEndsTheQuarantine(t *testing.T) {
+// An answer to an attempt that was already under way lifts the quarantine.
+func TestAnswerLiftsQuarantine(t *testing.T) {
 	began, free := make(chan struct{}), make(chan struct{})
 	s := startTarget(t, "a", func(w *bufio.Writer, r *http.Request, body string) bool {
 		if r.Header.Get("X-Id") == "1" {
@@ -142,8 +141,7 @@
 	}
 }
 
-// Guards against a quarantine at the VM that a caller asks which the owner of the key does not
-// know, and the other way round.
+// A request that is quarantined only at the owner of its key is refused there.
 func TestOwnerRefusesQuarantinedRequest(t *testing.T) {
 	s := startTarget(t, "a", ok)
 	asked, owner := newGateway(t, s), newGateway(t, s)
@@ -156,8 +154,8 @@
 	}
 }
 
-// Guards against targets whose planned end is blamed on the requests that they had.
-func TestOnlyUnplannedEndsAreBlamed(t *testing.T) {
+// The planned stop of a target must not be held against the requests that it had.
+func TestOnlyUnplannedStopsCount(t *testing.T) {
 	for name, planned := range map[string]bool{"crash": false, "draining": true} {
 		t.Run(name, func(t *testing.T) {
 			var s *target
@@ -172,7 +170,7 @@
 			f = newGateway(t, s)
 			q := f.withQuarantine()
 			f.ask(context.Background(), "POST", "/once/x", "1", time.Second, "")
-			waitFor(t, "the lost request was not looked at", func() bool { return strings.Contains(f.logText(), "requests lost at a target") })
+			waitFor(t, "the target of the lost request was not checked", func() bool { return strings.Contains(f.logText(), "requests lost at a target") })
 			waitFor(t, "the end was not taken in", func() bool { suspected, _ := q.Counts(); return planned || suspected == 1 })
 			if suspected, _ := q.Counts(); planned && suspected != 0 {
 				t.Errorf("%d suspected", suspected)
@@ -181,9 +179,9 @@
 	}
 }
 
-// Guards against a request whose caller leaves before it ends its target: nobody waits for that
-// connection, and the next request finds the target gone.
-func TestAbandonedRequestIsBlamedForTheEnd(t *testing.T) {
+// Guards against a crash that goes unattributed because the caller had left: only the next
+// request finds the target gone.
+func TestAbandonedRequestCountsForCrash(t *testing.T) {
 	began, over := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	s := startTarget(t, "a", func(w *bufio.Writer, r *http.Request, body string) bool {
--- a/edge/gateway/restart_test.go
+++ b/edge/gateway/restart_test.go
@@ -9,10 +9,9 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// A target stops and starts again under its id, at another address. Callers got 503 until
-// the program was restarted, because connections were kept by the id alone and went on
-// being opened to the address of the start before.
-func TestRestartedTargetIsReachedWhereItIsNow(t *testing.T) {
+// Guards against connection pools keyed by target id alone: a target that restarts at another
+// address must be reached there.
+func TestRestartedTargetIsReachedAtItsNewAddress(t *testing.T) {
 	first, second := startTarget(t, "a", ok), startTarget(t, "a", ok)
 	f := newGateway(t, first)
 	if a := f.ask(context.Background(), "GET", "/safe/x", "1", time.Second, ""); a.Status != 200 {
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -17,33 +17,31 @@
 )
 
 const (
-	// maxAttempts bounds how often a request is sent that targets refuse unrun.
+	// maxAttempts bounds the attempts of a request, including those that targets refuse unrun.
 	maxAttempts = 4
-	// hedgeLatencyFactor times the expected latency without an answer, an idempotent
-	// request is sent to a second target: its target may have lost power. A cold run
-	// takes three times as long as a warm one, and must not be sent again for that: the
-	// second target runs it cold as well.
+	// hedgeLatencyFactor times the expected latency is the hedge delay: an idempotent request
+	// without an answer by then is also sent to a second target. It exceeds the ratio of a
+	// cold run to a warm one, as the second target would run the request cold too.
 	hedgeLatencyFactor = 4.0
-	// minHedgeDelay is the shortest such time.
+	// minHedgeDelay is the lower bound of the hedge delay.
 	minHedgeDelay = 300 * time.Millisecond
-	// maxHedgeFraction of the time left is the longest such time: the second target needs
-	// the rest.
+	// maxHedgeFraction of the time left is the upper bound of the hedge delay, which leaves
+	// the second target the rest.
 	maxHedgeFraction = 0.4
 )
 
-// attempt is one sending that has ended.
+// attempt is the result of sending a request to one target.
 type attempt struct {
 	decision placing.Decision
 	answer   *forward.Answer
-	// notRun tells that the request certainly did not run.
+	// notRun is set only if the request certainly did not run.
 	notRun bool
 	code   result.Code
 	err    error
-	// took is from the sending to its end.
-	took time.Duration
+	took   time.Duration
 }
 
-// run sends a request until it has ended.
+// run places and sends a request until it succeeds or may not be retried.
 func (g *Gateway) run(ctx context.Context, r *request) outcome {
 	g.budgetOf(r.service).Fresh(budgetFraction * g.options.RetryRatio)
 	for {
@@ -51,7 +49,7 @@
 		if d.Target == nil {
 			return g.finalOutcome(r, end)
 		}
-		// It may have become known while the request waited.
+		// The request may have been quarantined while it waited.
 		if v := g.verdict(r); isBlocked(v) && !r.onTrial {
 			g.options.Balancer.Done(time.Now(), d, r.class, placing.Cancelled, 0)
 			return g.finalOutcome(r, quarantinedOutcome(v))
@@ -64,8 +62,8 @@
 	}
 }
 
-// finalOutcome keeps what an earlier sending showed: a failure that a target answered is
-// passed on rather than replaced, and "not run" is not said of what may have run.
+// finalOutcome takes earlier attempts into account: an error response of a target is
+// returned rather than replaced, and a request that may have run is not reported as not run.
 func (g *Gateway) finalOutcome(r *request, end outcome) outcome {
 	if end.answer != nil || end.code == result.CallerGone {
 		return end
@@ -79,7 +77,7 @@
 	return end
 }
 
-// place waits for a target.
+// place gets a target for the request and waits in the queue if none is free.
 func (g *Gateway) place(ctx context.Context, r *request) (placing.Decision, outcome) {
 	began := time.Now()
 	d, w := g.options.Balancer.Place(began, &r.placement)
@@ -108,7 +106,7 @@
 	return d, outcome{}
 }
 
-// contextOutcome is the outcome when the time ended, or the caller left.
+// contextOutcome returns the outcome of a request whose context has ended.
 func (g *Gateway) contextOutcome(ctx context.Context, r *request) outcome {
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return outcome{code: result.CallerGone, reason: "caller left"}
@@ -116,19 +114,19 @@
 	return deadlineOutcome(r)
 }
 
-// deadlineOutcome is the outcome when the time ended.
+// deadlineOutcome returns the outcome of a request whose deadline has passed.
 func deadlineOutcome(r *request) outcome {
 	if r.mayHaveRun {
 		return outcome{code: result.DeadlineAfterSend, reason: "no answer in time"}
 	}
-	return outcome{code: result.QueueFull, retryAfter: deadlineRetryAfter, reason: "no target in time"}
+	return outcome{code: result.QueueFull, retryAfter: deadlineRetryAfter, reason: "no target before the deadline"}
 }
 
-// deadlineRetryAfter is for callers whose time is over: they may retry at once.
+// deadlineRetryAfter is short: the caller has waited for its whole deadline.
 const deadlineRetryAfter = 50 * time.Millisecond
 
-// send sends a request to one target, and an idempotent one to a second if the
-// first does not answer for long.
+// send sends a request to one target, and hedges an idempotent one if the first target does
+// not answer in time.
 func (g *Gateway) send(ctx context.Context, r *request, d placing.Decision) attempt {
 	if r.route.Kind == site.AtMostOnce || r.route.MaxAttempts < 2 || r.attempts > 0 {
 		return g.sendAndRecord(ctx, r, d)
@@ -148,8 +146,8 @@
 			if a.answer != nil && !isServerError(a.answer) || running == 0 {
 				return a
 			}
-			// The second target did not run it, and the first has not answered: a third
-			// one is tried, or the request would wait for its deadline.
+			// The second target refused the request and the first has not answered: hedge
+			// again, or the request waits until its deadline.
 			if a.notRun && r.attempts < maxAttempts {
 				hedgeTimer.Reset(minHedgeDelay)
 			}
@@ -163,12 +161,12 @@
 	}
 }
 
-// hedgeDelay is how long the first target may take to answer.
+// hedgeDelay returns how long to wait for the first target before hedging.
 func hedgeDelay(expected, left time.Duration) time.Duration {
 	return max(minHedgeDelay, time.Duration(min(hedgeLatencyFactor*float64(expected), maxHedgeFraction*float64(left))))
 }
 
-// hedge finds a second target that is free now.
+// hedge returns a second target if one is free now and the retry budget allows it.
 func (g *Gateway) hedge(r *request, first placing.Decision) (placing.Decision, bool) {
 	if g.limitedToOneAttempt(r) || g.options.Balancer.Waiting() > 0 || !g.budgetOf(r.service).Take() {
 		return placing.Decision{}, false
@@ -187,14 +185,13 @@
 	return d, true
 }
 
-// sendAndRecord is one sending, noted.
 func (g *Gateway) sendAndRecord(ctx context.Context, r *request, d placing.Decision) attempt {
 	a := g.sendOnce(ctx, r, d)
 	g.recordAttempt(r, a)
 	return a
 }
 
-// recordAttempt takes a sending into the request's account.
+// recordAttempt updates the request, its log fields and the metrics after an attempt.
 func (g *Gateway) recordAttempt(r *request, a attempt) {
 	r.attempts++
 	if a.code != result.TargetShed || !a.decision.FailuresAreWidespread {
@@ -215,7 +212,7 @@
 	g.recordUnanswered(r, a)
 }
 
-// sendOnce sends a request once and ends it at the board.
+// sendOnce makes one attempt and reports its end to the balancer.
 func (g *Gateway) sendOnce(ctx context.Context, r *request, d placing.Decision) attempt {
 	began := time.Now()
 	a := g.sendToTarget(ctx, r, d)
@@ -241,8 +238,8 @@
 
 var errPanic = errors.New("gateway: exchange panicked")
 
-// sendOverConn is one exchange. One that panics, in a goroutine of its own, fails like one whose
-// connection is lost: otherwise its request would end one VM after the other.
+// sendOverConn exchanges the request for an answer. It turns a panic into a failed attempt, so
+// that a request that triggers one cannot crash one VM after another through retries.
 func (g *Gateway) sendOverConn(ctx context.Context, r *request, d placing.Decision, conn *forward.Conn) (answer *forward.Answer, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -257,14 +254,14 @@
 	return conn.Exchange(ctx, &out)
 }
 
-// updateIdleTimeout keeps idle connections for less time than the target says it does.
+// updateIdleTimeout closes idle connections before the target does, by its Keep-Alive header.
 func updateIdleTimeout(p *pool.Pool, h http.Header) {
 	if limit, ok := keepAliveTimeout(h); ok {
 		p.SetMaxIdle(limit)
 	}
 }
 
-// classify tells what an exchange showed.
+// classify derives the result of an attempt from the answer or the error.
 func (g *Gateway) classify(d placing.Decision, answer *forward.Answer, err error) attempt {
 	a := attempt{decision: d, answer: answer}
 	var failed *forward.Error
@@ -276,15 +273,15 @@
 	case answer.Header.Get(g.options.Fields.NotRun) != "" || answer.Status == http.StatusMisdirectedRequest:
 		a.code, a.notRun, a.answer = result.TargetShed, true, nil
 	case answer.Header.Get(g.options.Fields.Stamp) == "" && answer.Status < http.StatusBadRequest:
-		// Only the target's own mark shows that a success is one.
+		// A success without the stamp did not come from the target.
 		a.code, a.answer, a.err = result.AnswerTruncated, nil, errNoStamp
 	}
 	return a
 }
 
-var errNoStamp = errors.New("gateway: success without the target's mark")
+var errNoStamp = errors.New("gateway: success response without the target's stamp")
 
-// placingOutcome tells the board how a sending ended.
+// placingOutcome returns the outcome that the balancer is told.
 func (g *Gateway) placingOutcome(ctx context.Context, a attempt) placing.End {
 	switch {
 	case a.answer != nil && isServerError(a.answer):
@@ -303,7 +300,8 @@
 
 func isServerError(a *forward.Answer) bool { return a.Status >= http.StatusInternalServerError }
 
-// resolveAttempt decides whether a request has ended, or is sent again.
+// resolveAttempt decides after an attempt whether the request is done. It returns false if the
+// request may be retried.
 func (g *Gateway) resolveAttempt(ctx context.Context, r *request, a attempt) (outcome, bool) {
 	repeatable := r.route.Kind == site.Idempotent
 	if a.answer != nil {
@@ -315,7 +313,7 @@
 	if ctx.Err() != nil {
 		return g.contextOutcome(ctx, r), true
 	}
-	end := outcome{code: a.code, reason: "sending failed"}
+	end := outcome{code: a.code, reason: "attempt failed"}
 	if a.answer != nil {
 		end = outcome{code: result.OK, answer: a.answer}
 	} else if a.notRun {
@@ -336,5 +334,5 @@
 	return outcome{}, false
 }
 
-// shedRetryAfter is when a target that shed a request should have room.
+// shedRetryAfter is the Retry-After of a request that targets refused.
 const shedRetryAfter = 200 * time.Millisecond
--- a/edge/gateway/serve.go
+++ b/edge/gateway/serve.go
@@ -17,18 +17,17 @@
 )
 
 const (
-	// defaultDeadline is for callers that name none.
+	// defaultDeadline applies to requests without a deadline header.
 	defaultDeadline = 10 * time.Second
-	// deadlineMargin is how long before the caller gives up its answer leaves: it
-	// needs a few milliseconds to get there.
+	// deadlineMargin leaves time for the answer to reach the caller.
 	deadlineMargin = 10 * time.Millisecond
-	// largeBody is the length from which on a body prefers the own failure domain.
+	// largeBody is the length above which a body makes its request large, see isLarge.
 	largeBody = 16 << 10
-	// configRetryAfter is when a VM without a configuration should have one.
+	// configRetryAfter is the Retry-After of a VM that waits for its first configuration.
 	configRetryAfter = 300 * time.Millisecond
 )
 
-// request is one request on its way.
+// request is a request in progress.
 type request struct {
 	in        *serve.Request
 	id        string
@@ -37,28 +36,28 @@
 	class     *placing.Class
 	version   uint64
 	placement placing.Request
-	// deadline is when the caller, or the route's timeout, ends it.
+	// deadline is the earlier of the caller's deadline and the route's timeout.
 	deadline time.Time
 	out      forward.Request
-	// attempts counts the sendings to targets, mayHaveRun tells that one may have run.
+	// attempts counts the attempts at targets, mayHaveRun reports whether one may have run.
 	attempts   int
 	mayHaveRun bool
-	// lastFailure is the lastFailure failure that a target answered itself.
+	// lastFailure is the last error response that a target returned.
 	lastFailure *forward.Answer
-	// fromPeer tells that another VM has passed the request on to this one.
+	// fromPeer is set if another VM delegated the request to this one.
 	fromPeer bool
-	// fingerprint is nil until it is needed, see Gateway.fingerprint.
+	// fingerprint is computed on first use by Gateway.fingerprint.
 	fingerprint *quarantine.Fingerprint
-	// onTrial tells that this VM claimed the request's trial: it is sent once.
+	// onTrial is set if this VM claimed the request's quarantine trial: it is sent once.
 	onTrial bool
 	log     requestLog
 }
 
-// outcome is how a request ended.
+// outcome is the result of a request.
 type outcome struct {
 	code   result.Code
 	answer *forward.Answer
-	// retryAfter is when there should be room, for refusals.
+	// retryAfter is the time after which a refused request is worth retrying.
 	retryAfter time.Duration
 	reason     string
 }
@@ -71,7 +70,7 @@
 	return g.answer(end)
 }
 
-// handle works on a request by a table of routes, nil for none yet.
+// handle processes a request; table is nil before the first configuration.
 func (g *Gateway) handle(ctx context.Context, r *request, table *route.Table) outcome {
 	if table == nil {
 		return outcome{code: result.NoPlan, retryAfter: configRetryAfter, reason: "no configuration yet"}
@@ -100,18 +99,18 @@
 	return g.run(ctx, r)
 }
 
-// prepare works out what the decisions read and what is sent.
+// prepare fills in the placement request and the outgoing request.
 func (g *Gateway) prepare(r *request) outcome {
 	left, ok := g.timeLeft(r)
 	if !ok {
-		return outcome{code: result.BadDeadline, reason: "deadline not understood"}
+		return outcome{code: result.BadDeadline, reason: "invalid deadline"}
 	}
 	r.deadline = r.in.Arrived.Add(left)
 	r.service, r.class = r.route.NextService()
 	key := r.in.Header.Get(g.options.Fields.Affinity)
 	hasKey := key != "" && r.route.Sticky
 	if !hasKey {
-		// Requests without an affinity key are spread over all targets.
+		// Hashing the request id spreads requests without an affinity key over all targets.
 		key = r.id
 	}
 	r.placement = placing.Request{
@@ -137,13 +136,14 @@
 	return outcome{}
 }
 
-// isLarge tells whether a request or its answer should stay in its region. A large
-// answer from afar takes several round trips, and bytes between regions are scarce.
+// isLarge reports whether a request should be placed nearby because it or its answer is
+// large: that takes several round trips, and bandwidth between regions is scarce.
 func isLarge(r *request) bool {
 	return r.route.Upload || r.route.Download || len(r.in.Body) > largeBody
 }
 
-// timeLeft is how long the request may take from its arrival on.
+// timeLeft returns how long the request may take from its arrival, and false if its
+// deadline header is invalid.
 func (g *Gateway) timeLeft(r *request) (time.Duration, bool) {
 	left := defaultDeadline
 	if text := r.in.Header.Get(g.options.Fields.Deadline); text != "" {
@@ -159,7 +159,7 @@
 	return left, true
 }
 
-// answer renders an outcome.
+// answer converts an outcome to a response, nil if the caller is gone.
 func (g *Gateway) answer(end outcome) *serve.Answer {
 	if end.code == result.CallerGone {
 		return nil
@@ -174,7 +174,7 @@
 	info := result.InfoOf(end.code)
 	status := info.HTTP
 	if info.Outcome == result.NotRun && info.Retry {
-		// Callers repeat any request after 503, which says that it has not run.
+		// A 503 states that the request has not run, so callers retry any request after it.
 		status = http.StatusServiceUnavailable
 	}
 	a := serve.Plain(status, info.Name+"\n")
@@ -186,27 +186,27 @@
 	return a
 }
 
-// requestLog is what happened to a request, for its log line: what decided its last
-// placing, and each sending.
+// requestLog collects the log fields of a request: its last placement decision and the
+// result of each attempt.
 type requestLog struct {
 	waited   time.Duration
 	decision placing.Decision
 	targets  []string
 	results  []string
-	// durationsMS is how long each sending took, with the network, in milliseconds.
+	// durationsMS holds the duration of each attempt, network included.
 	durationsMS []int64
 	hedged      bool
-	// owner is the VM that decided on the request, if another one did, ownerTook how long
-	// that took with the network.
+	// owner is the VM that the request was delegated to, if any, ownerDuration how long it
+	// took, network included.
 	owner         string
 	ownerDuration time.Duration
-	// unanswered tells that a target may have begun the request and did not answer, verdict is
-	// the last one on whether it may be sent.
+	// unanswered is set if a target may have started the request and did not answer; verdict
+	// is the last quarantine verdict.
 	unanswered bool
 	verdict    quarantine.Verdict
 }
 
-// addFields adds the trail to a log line.
+// addFields adds the collected fields to a log line.
 func (t *requestLog) addFields(line logrus.Fields) {
 	line["waited_ms"] = t.waited.Milliseconds()
 	line["expected_ms"] = t.decision.Expected.Milliseconds()
@@ -222,8 +222,8 @@
 	line["warm"], line["hedged"] = t.decision.Warm, t.hedged
 }
 
-// record counts a request and writes its line. The VM that decided on the request writes
-// the inputs of the decision; the one that its caller asked counts it.
+// record counts a request and logs it. Only the VM that the caller connected to counts it;
+// only the VM that placed it logs the inputs of the decision.
 func (g *Gateway) record(r *request, end outcome) {
 	took := time.Since(r.in.Arrived)
 	name := ""
