--- a/edge/owners/owners.go
+++ b/edge/owners/owners.go
@@ -1,15 +1,15 @@
-// Package owners names, for each affinity key, the one VM of a failure domain that
-// decides on its requests. It is free of input and output.
+// Package owners maps each affinity key to the VM of a failure domain that places its
+// requests. It does no I/O.
 //
-// Load pattern: hundreds of VMs share a thousand targets, and each VM sends to each
-// target once or twice in a minute. Nearly every request then opens a connection, and
-// what a VM learns of a target (which keys it is warm for, how many requests it has, that
-// it refuses) is of no use to the VM that gets the next request. With one owner for each
-// key of a failure domain a target gets its requests from a few VMs, which keep their
-// connections open and see what happens there.
+// With many VMs and many targets, each VM rarely sends to the same target twice in a row:
+// it needs a new connection for nearly every request, and what it has learned of a target
+// (warm keys, requests in flight, refusals) does not help the VM that gets the next
+// request. With one owner per key, a target gets its requests from few VMs, which keep
+// their connections open and have current information.
 //
-// A request and its answer cross the owner's link once more. Keys are therefore divided by
-// the links of the VMs, and an owner that answers with a delay of its own is avoided.
+// A delegated request and its answer cross the owner's network link once more. Keys are
+// therefore divided in proportion to link bandwidth, and owners whose answers arrive late
+// are avoided.
 package owners
 
 import (
@@ -24,67 +24,63 @@
 )
 
 const (
-	// minVMs is the least number of VMs of a failure domain, this one included, among
-	// which keys are divided: fewer see enough of each target by themselves, and a
-	// request would be passed on for nothing.
+	// minVMs is the smallest number of VMs, this one included, among which keys are
+	// divided. Fewer VMs each see enough of every target by themselves.
 	minVMs = 4
-	// avoidFor is how long an owner gets nothing after it could not be reached. By then
-	// it is reachable again, or unresponsive.
-	avoidFor = 2 * time.Second
-	// maxOverhead is how much longer than the owner itself an answer may take on average.
-	// Within a failure domain it takes a few milliseconds; above this a link is full.
+	// avoidDuration is how long an owner gets no requests after a failure. By then it is
+	// reachable again, or known to be unresponsive.
+	avoidDuration = 2 * time.Second
+	// maxOverhead bounds the mean time that answers take beyond the owner's processing time.
+	// Within a failure domain, more than this means a saturated link.
 	maxOverhead = 25 * time.Millisecond
-	// overheadRate is the weight of one answer in the mean overhead.
-	overheadRate = 0.1
-	// unknownLink is the link of a VM that does not say, in Mbit/s.
-	unknownLink = 1
+	// overheadWeight is the weight of one answer in the moving average of the overhead.
+	overheadWeight = 0.1
+	// defaultLinkMbps is assumed for a VM that does not state its bandwidth.
+	defaultLinkMbps = 1
 )
 
-// Owner is another VM that decides on some keys.
+// Owner is another VM that owns a part of the keys.
 type Owner struct {
 	site.VM
 	hash uint64
-	// share is the part of the keys that it owns in proportion to others.
-	share float64
-	lost  context.Context
-	lose  context.CancelFunc
-	// avoidUntil is in Unix nanoseconds.
+	// share is its weight in the division of the keys.
+	share  float64
+	ctx    context.Context
+	cancel context.CancelFunc
+	// avoidUntil is a time in Unix nanoseconds.
 	avoidUntil atomic.Int64
 
 	mu sync.Mutex
-	// overhead is the mean time that answers take beyond the owner's own.
+	// overhead is the moving average of the time that answers take beyond the owner's
+	// processing time.
 	overhead time.Duration
 }
 
-// Context ends when the VM has become unresponsive.
-func (o *Owner) Context() context.Context { return o.lost }
+// Context returns a context that is canceled when the VM becomes unresponsive.
+func (o *Owner) Context() context.Context { return o.ctx }
 
-// Avoid keeps this VM from using the owner for a while: it could not be reached.
-func (o *Owner) Avoid(now time.Time) { o.avoidUntil.Store(now.Add(avoidFor).UnixNano()) }
+// Avoid makes Lookup skip the owner for avoidDuration.
+func (o *Owner) Avoid(now time.Time) { o.avoidUntil.Store(now.Add(avoidDuration).UnixNano()) }
 
-// RecordOverhead takes in by how much longer than the owner itself an answer took.
-//
-// Guard against full links: with a tenth of the link of others, VMs that own keys made
-// callers wait for a fifth of a second. It shows as answers that come later than the owner
-// gave them. The guard holds because such an owner gets nothing for a while, and each VM
-// judges by the answers that it waited for.
+// RecordOverhead records how much longer than the owner's processing time an answer took. An
+// owner with a high mean overhead is avoided for a while: its link is probably saturated.
 func (o *Owner) RecordOverhead(overhead time.Duration, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.overhead += time.Duration(overheadRate * float64(overhead-o.overhead))
+	o.overhead += time.Duration(overheadWeight * float64(overhead-o.overhead))
 	if o.overhead > maxOverhead {
 		o.overhead = 0
 		o.Avoid(now)
 	}
 }
 
-// Table knows the owners. It is safe for use by several goroutines; Lookup and EffectiveVMs wait for
-// nothing.
+// Table maps keys to owners. It is safe for concurrent use; Lookup and EffectiveVMs do not
+// block.
 type Table struct {
 	own    *Owner
 	others atomic.Pointer[[]*Owner]
-	// setting is held while the others are replaced.
-	setting sync.Mutex
+	// updateMu serializes SetVMs.
+	updateMu sync.Mutex
 }
 
 // New returns a table in which this VM owns all keys.
@@ -94,8 +90,8 @@
 	return t
 }
 
-// Lookup returns the owner of a key, nil for this VM itself. All VMs that know the same VMs
-// find the same owner.
+// Lookup returns the owner of a key, nil for this VM itself. All VMs with the same list of VMs
+// find the same owner, unless they avoid it.
 func (t *Table) Lookup(key uint64, now time.Time) *Owner {
 	var best *Owner
 	lowest := t.own.rank(key)
@@ -107,11 +103,11 @@
 	return best
 }
 
-// rank orders owners for a key, the lowest first.
+// rank is the owner's rank for a key in weighted rendezvous hashing; the lowest rank owns it.
 func (o *Owner) rank(key uint64) float64 { return placing.WeightedRank(key, o.hash, o.share) }
 
-// EffectiveVMs returns among how many VMs with equal links keys would be divided as finely as
-// they are, this VM included.
+// EffectiveVMs returns the number of VMs with equal shares that would divide the keys as
+// finely as the actual shares do, this VM included.
 func (t *Table) EffectiveVMs() float64 {
 	sum, squares := t.own.share, t.own.share*t.own.share
 	for _, o := range *t.others.Load() {
@@ -121,11 +117,11 @@
 	return sum * sum / squares
 }
 
-// SetVMs tells which other VMs of the failure domain take requests now. isResponsive
-// reports of one that no longer does whether it still answers.
+// SetVMs sets the other VMs of the failure domain that take requests. isResponsive is asked
+// about VMs that are removed: the context of an unresponsive one is canceled.
 func (t *Table) SetVMs(vms []site.VM, isResponsive func(site.VM) bool) {
-	t.setting.Lock()
-	defer t.setting.Unlock()
+	t.updateMu.Lock()
+	defer t.updateMu.Unlock()
 	if 1+len(vms) < minVMs {
 		vms = nil
 	}
@@ -135,18 +131,18 @@
 	}
 	next := make([]*Owner, 0, len(vms))
 	for _, vm := range vms {
-		next = append(next, ownerOf(old, vm))
+		next = append(next, reuseOwner(old, vm))
 	}
 	t.others.Store(&next)
 	for _, o := range old {
 		if !slices.Contains(next, o) && !isResponsive(o.VM) {
-			o.lose()
+			o.cancel()
 		}
 	}
 }
 
-// ownerOf keeps an owner that is known.
-func ownerOf(known []*Owner, vm site.VM) *Owner {
+// reuseOwner returns the known owner for a VM, so that it keeps its state, or a new one.
+func reuseOwner(known []*Owner, vm site.VM) *Owner {
 	for _, o := range known {
 		if o.VM == vm {
 			return o
@@ -156,8 +152,8 @@
 }
 
 func newOwner(vm site.VM) *Owner {
-	lost, lose := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Owner{
-		VM: vm, hash: placing.HashOf(vm.Name), share: max(unknownLink, vm.LinkMbps), lost: lost, lose: lose,
+		VM: vm, hash: placing.HashOf(vm.Name), share: max(defaultLinkMbps, vm.LinkMbps), ctx: ctx, cancel: cancel,
 	}
 }
--- a/edge/owners/owners_test.go
+++ b/edge/owners/owners_test.go
@@ -19,8 +19,8 @@
 
 func responsive(site.VM) bool { return true }
 
-// tableOf is the table of one VM among others.
-func tableOf(own string, all ...string) *Table {
+// newTable returns the table of one VM of a failure domain.
+func newTable(own string, all ...string) *Table {
 	t := New(site.VM{Name: own})
 	var others []string
 	for _, name := range all {
@@ -32,24 +32,23 @@
 	return t
 }
 
-// nameOf is the owner of a key, by a VM's table.
-func nameOf(own string, t *Table, key uint64, now time.Time) string {
+// ownerName returns the name of the owner of a key by the table of a VM.
+func ownerName(own string, t *Table, key uint64, now time.Time) string {
 	if o := t.Lookup(key, now); o != nil {
 		return o.Name
 	}
 	return own
 }
 
-// Callers ask different VMs for the same key. If the VMs did not agree on its owner, its
-// target would get requests from several VMs that know nothing of each other.
+// All VMs must agree on the owner of a key, and keys must be spread over all VMs.
 func TestAllVMsFindTheSameOwner(t *testing.T) {
 	names, now := []string{"a", "b", "c", "d", "e"}, time.Unix(1000, 0)
 	owned := make(map[string]int)
 	for key := range uint64(500) {
-		first := nameOf("a", tableOf("a", names...), key, now)
+		first := ownerName("a", newTable("a", names...), key, now)
 		owned[first]++
 		for _, own := range names[1:] {
-			if got := nameOf(own, tableOf(own, names...), key, now); got != first {
+			if got := ownerName(own, newTable(own, names...), key, now); got != first {
 				t.Fatalf("key %d: %s says %s, a says %s", key, own, got, first)
 			}
 		}
@@ -61,36 +60,35 @@
 	}
 }
 
-// One VM leaves. Only its keys get another owner, so that the targets of all others stay
-// with the VMs that know them.
-func TestOnlyKeysOfALostOwnerMove(t *testing.T) {
+// When a VM leaves, only its keys get another owner.
+func TestOnlyKeysOfRemovedOwnerMove(t *testing.T) {
 	now := time.Unix(1000, 0)
-	before, after := tableOf("a", "a", "b", "c", "d", "e"), tableOf("a", "a", "b", "c", "d")
+	before, after := newTable("a", "a", "b", "c", "d", "e"), newTable("a", "a", "b", "c", "d")
 	for key := range uint64(500) {
-		was, is := nameOf("a", before, key, now), nameOf("a", after, key, now)
+		was, is := ownerName("a", before, key, now), ownerName("a", after, key, now)
 		if was != "e" && was != is {
-			t.Fatalf("key %d went from %s to %s", key, was, is)
+			t.Fatalf("key %d moved from %s to %s", key, was, is)
 		}
 	}
 }
 
-// A failure domain has three VMs. Each sees enough of every target by itself.
-func TestFewVMsOwnAllKeysThemselves(t *testing.T) {
-	table := tableOf("a", "a", "b", "c")
+// With fewer than minVMs VMs, no requests are delegated.
+func TestKeysAreNotDividedAmongFewVMs(t *testing.T) {
+	table := newTable("a", "a", "b", "c")
 	for key := range uint64(50) {
 		if table.Lookup(key, time.Now()) != nil {
-			t.Fatal("a request is passed on among three VMs")
+			t.Fatal("keys are divided among three VMs")
 		}
 	}
 	if n := table.EffectiveVMs(); n != 1 {
-		t.Errorf("keys are divided among %v VMs", n)
+		t.Errorf("%v effective VMs, want 1", n)
 	}
 }
 
-// An owner could not be reached. Its keys go elsewhere for a while, then to it again.
-func TestAvoidedOwnerGetsNothingForAWhile(t *testing.T) {
+// The keys of an avoided owner go to others for avoidDuration, then to it again.
+func TestAvoidedOwnerIsSkippedTemporarily(t *testing.T) {
 	now := time.Unix(1000, 0)
-	table := tableOf("a", "a", "b", "c", "d")
+	table := newTable("a", "a", "b", "c", "d")
 	o := (*Owner)(nil)
 	key := uint64(0)
 	for ; o == nil; key++ {
@@ -99,57 +97,55 @@
 	key--
 	o.Avoid(now)
 	if got := table.Lookup(key, now); got == o {
-		t.Error("used at once")
+		t.Error("used while avoided")
 	}
-	if got := table.Lookup(key, now.Add(avoidFor)); got != o {
+	if got := table.Lookup(key, now.Add(avoidDuration)); got != o {
 		t.Error("not used again")
 	}
 }
 
-// The list of owners changes many times in a day. A VM that stays keeps its state, one
-// that leaves as planned ends what it has, and only one that fell silent is lost.
-func TestOnlyUnresponsiveOwnersAreLost(t *testing.T) {
-	table := tableOf("a", "a", "b", "c", "d", "e")
+// An update keeps the state of owners that stay, and cancels the context only of removed
+// owners that are unresponsive.
+func TestOnlyUnresponsiveOwnersAreCanceled(t *testing.T) {
+	table := newTable("a", "a", "b", "c", "d", "e")
 	known := *table.others.Load()
 	table.SetVMs(vms("b", "c", "d"), responsive)
 	for _, o := range known {
 		if o.Context().Err() != nil {
-			t.Errorf("%s is lost though it answers", o.Name)
+			t.Errorf("%s canceled though it is responsive", o.Name)
 		}
 	}
 	if kept := (*table.others.Load())[0]; kept != known[0] {
-		t.Error("an owner that stays was made anew")
+		t.Error("an owner that stays was replaced")
 	}
 	table.SetVMs(vms("b", "c"), func(vm site.VM) bool { return vm.Name != "d" })
 	for _, o := range known {
-		if lost := o.Context().Err() != nil; lost != (o.Name == "d") {
-			t.Errorf("%s lost: %v", o.Name, lost)
+		if canceled := o.Context().Err() != nil; canceled != (o.Name == "d") {
+			t.Errorf("%s canceled: %v", o.Name, canceled)
 		}
 	}
 }
 
-// The list of VMs and the clock both tell the table who lives, from two goroutines, while
-// requests ask it. The race detector watches.
-func TestTableIsSetFromTwoSides(t *testing.T) {
-	table := tableOf("a", "a", "b", "c", "d")
-	var sides sync.WaitGroup
+// Guards against data races between concurrent updates and lookups.
+func TestConcurrentUpdatesAndLookups(t *testing.T) {
+	table := newTable("a", "a", "b", "c", "d")
+	var updaters sync.WaitGroup
 	for _, list := range [][]site.VM{vms("b", "c", "d"), vms("b", "c", "d", "e")} {
-		sides.Go(func() {
+		updaters.Go(func() {
 			for key := range uint64(200) {
 				table.SetVMs(list, responsive)
 				table.Lookup(key, time.Now())
 			}
 		})
 	}
-	sides.Wait()
+	updaters.Wait()
 	if n := len(*table.others.Load()); n != 3 && n != 4 {
-		t.Errorf("%d others", n)
+		t.Errorf("%d other VMs, want 3 or 4", n)
 	}
 }
 
-// Two VMs of a failure domain have wide links, the others narrow ones. Divided evenly, the
-// keys of callers with large answers filled the narrow links, and all of them waited.
-func TestKeysAreDividedByLinks(t *testing.T) {
+// Keys must be divided by link bandwidth; an even division would saturate narrow links.
+func TestKeysAreDividedByBandwidth(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := New(site.VM{Name: "a", LinkMbps: 10})
 	list := vms("b", "c", "d", "e", "f")
@@ -160,7 +156,7 @@
 	table.SetVMs(list, responsive)
 	owned := make(map[string]int)
 	for key := range uint64(2000) {
-		owned[nameOf("a", table, key, now)]++
+		owned[ownerName("a", table, key, now)]++
 	}
 	for name, n := range owned {
 		wide := name == "b" || name == "c"
@@ -169,15 +165,15 @@
 		}
 	}
 	if n := table.EffectiveVMs(); n < 2 || n > 2.5 {
-		t.Errorf("divided as among %.1f equal VMs", n)
+		t.Errorf("%.1f effective VMs, want 2 to 2.5", n)
 	}
 }
 
-// The link of an owner is full, and its answers arrive long after it gave them. It gets
-// nothing for a while; one slow answer among quick ones changes nothing.
-func TestOwnerWithAFullLinkIsAvoided(t *testing.T) {
+// An owner with a high mean overhead is avoided for a while; a single slow answer has no
+// effect.
+func TestOwnerWithSaturatedLinkIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
-	table := tableOf("a", "a", "b", "c", "d")
+	table := newTable("a", "a", "b", "c", "d")
 	o := (*table.others.Load())[0]
 	key := uint64(0)
 	for table.Lookup(key, now) != o {
@@ -188,7 +184,7 @@
 	}
 	o.RecordOverhead(100*time.Millisecond, now)
 	if table.Lookup(key, now) != o {
-		t.Error("avoided for one slow answer")
+		t.Error("avoided after one slow answer")
 	}
 	for range 5 {
 		o.RecordOverhead(100*time.Millisecond, now)
@@ -196,17 +192,17 @@
 	if table.Lookup(key, now) == o {
 		t.Error("still used")
 	}
-	if table.Lookup(key, now.Add(avoidFor)) != o {
+	if table.Lookup(key, now.Add(avoidDuration)) != o {
 		t.Error("not used again")
 	}
 }
 
-func BenchmarkOf(b *testing.B) {
+func BenchmarkLookup(b *testing.B) {
 	var names []string
 	for i := range 33 {
 		names = append(names, fmt.Sprint("vm-", i))
 	}
-	table, now := tableOf("vm-0", names...), time.Now()
+	table, now := newTable("vm-0", names...), time.Now()
 	for key := uint64(0); b.Loop(); key++ {
 		table.Lookup(key, now)
 	}
