--- a/edge/route/table.go
+++ b/edge/route/table.go
@@ -1,4 +1,4 @@
-// Package route finds the route of a request and the service that gets it.
+// Package route matches requests to routes and selects the service of each request.
 package route
 
 import (
@@ -11,33 +11,33 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// Table finds routes. It is immutable; entries count their own requests.
+// Table matches requests to routes. Its set of routes is immutable.
 type Table struct {
 	Version uint64
-	// hosts holds each host's entries, the longest prefix first.
+	// hosts holds the entries of each host, longest prefix first.
 	hosts map[string][]*Entry
 }
 
-// Entry is one route in force.
+// Entry is one route with the state of its traffic split.
 type Entry struct {
 	site.Route
 	classes map[string]*placing.Class
 
-	mu     sync.Mutex
-	credit []float64
+	mu            sync.Mutex
+	currentWeight []float64
 }
 
-// NewTable builds the table of a configuration. What was learnt about routes that
-// stay is taken over from the last table, which may be nil.
+// NewTable builds the table of a configuration. Routes that exist in the last table, which
+// may be nil, keep their latency estimates.
 func NewTable(c *site.Config, last *Table) *Table {
 	t := &Table{Version: c.Version, hosts: make(map[string][]*Entry)}
 	for _, r := range c.Routes {
-		e := &Entry{Route: r, classes: make(map[string]*placing.Class), credit: make([]float64, len(r.Services))}
+		e := &Entry{Route: r, classes: make(map[string]*placing.Class), currentWeight: make([]float64, len(r.Services))}
 		old := last.find(r.Host, r.Prefix)
-		for _, part := range r.Services {
-			e.classes[part.Service] = old.class(part.Service)
-			if e.classes[part.Service] == nil {
-				e.classes[part.Service] = placing.NewClass(r.Objective)
+		for _, weighted := range r.Services {
+			e.classes[weighted.Service] = old.class(weighted.Service)
+			if e.classes[weighted.Service] == nil {
+				e.classes[weighted.Service] = placing.NewClass(r.Objective)
 			}
 		}
 		t.hosts[r.Host] = append(t.hosts[r.Host], e)
@@ -48,7 +48,7 @@
 	return t
 }
 
-// find returns the entry with exactly this host and prefix.
+// find returns the entry with exactly this host and prefix, nil if there is none.
 func (t *Table) find(host, prefix string) *Entry {
 	if t == nil {
 		return nil
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// NextService returns the service of the next request, by the parts' weights: each part
-// gets its share of every few requests, not only on average.
+// NextService selects the service of the next request by smooth weighted round robin, so that
+// each service gets its share also of a short sequence of requests.
 func (e *Entry) NextService() (service string, class *placing.Class) {
 	if len(e.Services) == 1 {
 		return e.Services[0].Service, e.classes[e.Services[0].Service]
@@ -90,13 +90,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	sum, best := 0.0, 0
-	for i, part := range e.Services {
-		e.credit[i] += part.Weight
-		sum += part.Weight
-		if e.credit[i] > e.credit[best] {
+	for i, weighted := range e.Services {
+		e.currentWeight[i] += weighted.Weight
+		sum += weighted.Weight
+		if e.currentWeight[i] > e.currentWeight[best] {
 			best = i
 		}
 	}
-	e.credit[best] -= sum
+	e.currentWeight[best] -= sum
 	return e.Services[best].Service, e.classes[e.Services[best].Service]
 }
--- a/edge/route/table_test.go
+++ b/edge/route/table_test.go
@@ -31,12 +31,12 @@
 		}
 	}
 	if table.Match("other", "/a/x") != nil {
-		t.Error("another host's route")
+		t.Error("matched the route of another host")
 	}
 }
 
-// Each part gets its share of every few requests, not only on average.
-func TestPartsGetTheirWeights(t *testing.T) {
+// Each service gets its share of short sequences of requests, not only on average.
+func TestServicesGetTheirWeights(t *testing.T) {
 	e := NewTable(config(1, routeTo("r", "/", "big", "small")), nil).Match("h", "/")
 	small := 0
 	for i := range 100 {
@@ -44,13 +44,13 @@
 			small++
 		}
 		if want := (i + 1) / 10; small < want-1 || small > want+1 {
-			t.Fatalf("%d of %d requests, one in ten wanted", small, i+1)
+			t.Fatalf("%d of %d requests, want one in ten", small, i+1)
 		}
 	}
 }
 
-// A change of the configuration must not make a VM forget how long requests take.
-func TestLearntWorkOutlivesAChange(t *testing.T) {
+// A change of the configuration must not discard the latency estimates of a service.
+func TestEstimatesSurviveConfigurationChange(t *testing.T) {
 	first := NewTable(config(1, routeTo("r", "/", "s")), nil)
 	_, before := first.Match("h", "/").NextService()
 	changed := routeTo("renamed", "/", "s", "new")
@@ -58,7 +58,7 @@
 	second := NewTable(config(2, changed), first)
 	_, after := second.Match("h", "/").NextService()
 	if before != after {
-		t.Error("the estimates of the service began anew")
+		t.Error("the estimates of the service were reset")
 	}
 	var none *placing.Class
 	if second.Match("h", "/").classes["new"] == none {
--- a/edge/site/site.go
+++ b/edge/site/site.go
@@ -1,11 +1,11 @@
-// Package site holds what an entry VM believes about its deployment: routes and
-// services as operators configured them, targets as they registered, and the
-// other entry VMs. All values are immutable once published.
+// Package site defines an entry VM's model of its deployment: the configured routes and
+// services, the registered targets, and the other entry VMs. Values are immutable once
+// published.
 package site
 
 import "time"
 
-// Kind tells how often a request may be sent.
+// Kind says whether a request may run more than once.
 type Kind int
 
 // Kinds of requests.
@@ -16,29 +16,29 @@
 	AtMostOnce
 )
 
-// Route says what happens to requests of one host whose path begins with Prefix.
+// Route configures the requests to one host whose path begins with Prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Upload tells that bodies are large, Download that answers are.
+	// Upload marks routes with large request bodies, Download those with large answers.
 	Upload, Download bool
-	// UnknownKind is the kind as operators wrote it, if this program does not know it.
+	// UnknownKind is the configured kind if it is not supported.
 	UnknownKind string
-	// Timeout is the longest time a request is kept waiting.
+	// Timeout bounds the time of a request in addition to its deadline; 0 means no bound.
 	Timeout time.Duration
-	// Objective is the latency within which an answer has its full worth.
+	// Objective is the latency objective.
 	Objective time.Duration
-	// Priority is the rank of the route, 0 the highest.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
-	// MaxAttempts bounds the targets that one request is sent to.
+	// MaxAttempts bounds the number of targets that one request is sent to.
 	MaxAttempts int
-	// Sticky tells that targets answer faster for affinity keys that they handled lately.
+	// Sticky enables key affinity: targets answer faster for keys that they handled recently.
 	Sticky bool
-	// Regions may run the requests; empty means all.
+	// Regions lists the regions that may run the requests; empty means all.
 	Regions []string
-	// Services divide the requests between services; there is at least one.
+	// Services is the traffic split; it has at least one entry.
 	Services []WeightedService
 }
 
@@ -55,25 +55,25 @@
 	return false
 }
 
-// WeightedService is one service's weight in a route.
+// WeightedService is the weight of one service in a traffic split.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Service is a group of equal targets.
+// Service is a group of interchangeable targets.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections bounds the open connections to one target, of all VMs.
+	// MaxConnections bounds the open connections of all VMs to one target.
 	MaxConnections int
-	// ColdTime is how long a target is slow after its start, ColdRate the
-	// requests a second that it bears until then, from all VMs; 0 is no bound.
+	// ColdTime is the warm-up time of a target after its start. ColdRate bounds the requests
+	// per second that all VMs send to it during that time; 0 means no bound.
 	ColdTime time.Duration
 	ColdRate float64
 }
 
-// Limits bound what callers may send.
+// Limits bounds the size and the time of callers' requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -81,7 +81,7 @@
 	IdleTime    time.Duration
 }
 
-// Config is one version of the operators' configuration.
+// Config is one version of the configuration.
 type Config struct {
 	Version  uint64
 	Routes   []Route
@@ -96,33 +96,33 @@
 	Address string
 	Zone    string
 	Slots   int
-	// Draining tells that the target takes no new work.
+	// Draining is set if the target accepts no new requests.
 	Draining bool
-	// ColdRemaining is how long the target is still cold.
+	// ColdRemaining is the remaining warm-up time.
 	ColdRemaining time.Duration
-	// StartedMillis is when this incarnation of the target started, in Unix milliseconds by the
-	// target's clock; 0 if the target does not say. It tells the starts of one ID apart.
+	// StartedMillis is the start time of the target in Unix milliseconds by its own clock; 0 if
+	// unknown. It distinguishes the incarnations of an ID.
 	StartedMillis int64
 }
 
-// VM is one entry VM as it registered itself.
+// VM is the registration of an entry VM.
 type VM struct {
 	Name   string `json:"name" msgpack:"n"`
 	Region string `json:"region" msgpack:"r"`
 	Zone   string `json:"zone" msgpack:"z"`
-	// EntryAddress is where callers connect, PeerAddress where other VMs do.
+	// EntryAddress is the address for callers, PeerAddress the one for other VMs.
 	EntryAddress string `json:"entry" msgpack:"e"`
 	PeerAddress  string `json:"peer" msgpack:"p"`
-	// Incarnation tells the starts of one VM apart.
+	// Incarnation distinguishes the starts of one VM.
 	Incarnation uint64 `json:"incarnation" msgpack:"i"`
-	// LinkMbps is its link in Mbit/s, 0 if it does not say.
+	// LinkMbps is the bandwidth of its network link in Mbit/s; 0 if unknown.
 	LinkMbps float64 `json:"link_mbps" msgpack:"b"`
 }
 
-// FieldNames are the header fields of the protocol between callers, entry VMs
-// and targets.
+// FieldNames holds the names of the header fields used between callers, entry VMs and
+// targets.
 type FieldNames struct {
 	RequestID, Deadline, Affinity, ExpectTarget, Stamp, NotRun, TargetID, Load, ColdMillis string
-	// Account names the client account of a request, where requests say it.
+	// Account is the field with the client account of a request, empty if there is none.
 	Account string
 }
