--- a/edge/gateway/delegate_test.go
+++ b/edge/gateway/delegate_test.go
@@ -76,9 +76,9 @@
 		seen = r.Header
 		return ok(w, r, body)
 	})
-	asked, owner := newGateway(t, s), newGateway(t, s)
-	asked.setOwners(owner.servePeers(t))
-	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", asked.peerKey(t), time.Second, "order"))
+	entry, owner := newGateway(t, s), newGateway(t, s)
+	entry.setOwners(owner.servePeers(t))
+	a := entry.Handle(context.Background(), entry.keyedRequest("POST", "/once/x", "7", entry.peerKey(t), time.Second, "order"))
 	if a.Status != http.StatusOK || string(a.Body) != "done" || a.Header.Get("X-Stamp") != "s" || a.Header.Get("X-Id") != "7" {
 		t.Fatalf("%d %q %v", a.Status, a.Body, a.Header)
 	}
@@ -92,16 +92,16 @@
 	if s.count() != 1 || s.bodies[0] != "order" {
 		t.Errorf("%d requests, bodies %v", s.count(), s.bodies)
 	}
-	if !strings.Contains(asked.logText(), "gateway: request delegated") || !strings.Contains(owner.logText(), "gateway: request ended") {
-		t.Errorf("logs of the VM that was asked %s, of the owner %s", asked.logText(), owner.logText())
+	if !strings.Contains(entry.logText(), "gateway: request delegated") || !strings.Contains(owner.logText(), "gateway: request ended") {
+		t.Errorf("log of the entry VM %s, of the owner %s", entry.logText(), owner.logText())
 	}
 }
 
 // A refusal by the owner reaches the caller with its Retry-After.
 func TestRefusalByOwnerReachesCaller(t *testing.T) {
-	asked, owner := newGateway(t, startTarget(t, "a", ok)), newGateway(t, startTarget(t, "a", shed))
-	asked.setOwners(owner.servePeers(t))
-	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", asked.peerKey(t), time.Second, ""))
+	entry, owner := newGateway(t, startTarget(t, "a", ok)), newGateway(t, startTarget(t, "a", shed))
+	entry.setOwners(owner.servePeers(t))
+	a := entry.Handle(context.Background(), entry.keyedRequest("POST", "/once/x", "7", entry.peerKey(t), time.Second, ""))
 	if a.Status != http.StatusServiceUnavailable || a.Header.Get("Retry-After") == "" {
 		t.Errorf("%d %v", a.Status, a.Header)
 	}
@@ -111,15 +111,15 @@
 // connected to places it.
 func TestOwnerAtAnotherVersionDeclines(t *testing.T) {
 	s := startTarget(t, "a", ok)
-	asked, owner := newGateway(t, s), newGateway(t, s)
-	asked.setOwners(owner.servePeers(t))
-	key := asked.peerKey(t)
+	entry, owner := newGateway(t, s), newGateway(t, s)
+	entry.setOwners(owner.servePeers(t))
+	key := entry.peerKey(t)
 	owner.SetView(&catalog.View{Config: &site.Config{Version: 4}}, time.Now())
-	a := asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "7", key, time.Second, ""))
+	a := entry.Handle(context.Background(), entry.keyedRequest("GET", "/safe/x", "7", key, time.Second, ""))
 	if a.Status != http.StatusOK || s.count() != 1 {
 		t.Errorf("%d, %d requests at the target", a.Status, s.count())
 	}
-	if strings.Contains(asked.logText(), "request delegated") {
+	if strings.Contains(entry.logText(), "request delegated") {
 		t.Error("placed by an owner at another version")
 	}
 }
@@ -148,21 +148,21 @@
 // ends with an unknown outcome.
 func TestOwnerCrashesDuringRequest(t *testing.T) {
 	s := startTarget(t, "a", ok)
-	asked := newGateway(t, s)
-	asked.setOwners(startPeer(t, func(c net.Conn) {
+	entry := newGateway(t, s)
+	entry.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		c.Close()
 	}))
-	key := asked.peerKey(t)
-	a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "7", key, time.Second, ""))
+	key := entry.peerKey(t)
+	a := entry.Handle(context.Background(), entry.keyedRequest("POST", "/once/x", "7", key, time.Second, ""))
 	if a.Status != http.StatusBadGateway || s.count() != 0 {
 		t.Errorf("at-most-once request: %d, %d requests at the target", a.Status, s.count())
 	}
-	asked.setOwners(startPeer(t, func(c net.Conn) {
+	entry.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		c.Close()
 	}))
-	a = asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "8", asked.peerKey(t), time.Second, ""))
+	a = entry.Handle(context.Background(), entry.keyedRequest("GET", "/safe/x", "8", entry.peerKey(t), time.Second, ""))
 	if a.Status != http.StatusOK || s.count() != 1 {
 		t.Errorf("idempotent request: %d, %d requests at the target", a.Status, s.count())
 	}
@@ -171,16 +171,16 @@
 // When an owner refuses connections, the VM places even at-most-once requests itself.
 func TestUnreachableOwnerIsBypassed(t *testing.T) {
 	s := startTarget(t, "a", ok)
-	asked := newGateway(t, s)
+	entry := newGateway(t, s)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked.setOwners(l.Addr().String())
+	entry.setOwners(l.Addr().String())
 	l.Close()
-	key := asked.peerKey(t)
+	key := entry.peerKey(t)
 	for i := range 3 {
-		a := asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", fmt.Sprint(i), key, time.Second, ""))
+		a := entry.Handle(context.Background(), entry.keyedRequest("POST", "/once/x", fmt.Sprint(i), key, time.Second, ""))
 		if a.Status != http.StatusOK || s.count() != i+1 {
 			t.Errorf("%d, %d requests at the target", a.Status, s.count())
 		}
@@ -191,35 +191,35 @@
 // wait until their deadline, as they may have run.
 func TestUnresponsiveOwner(t *testing.T) {
 	s := startTarget(t, "a", ok)
-	asked := newGateway(t, s)
+	entry := newGateway(t, s)
 	arrived := make(chan struct{}, 2)
-	asked.setOwners(startPeer(t, func(c net.Conn) {
+	entry.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		arrived <- struct{}{}
 		// The connection stays open until the other side closes it.
 		_, _ = io.Copy(io.Discard, c)
 	}))
-	key := asked.peerKey(t)
+	key := entry.peerKey(t)
 	answers := make(chan *serve.Answer, 1)
 	go func() {
-		answers <- asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "7", key, time.Minute, ""))
+		answers <- entry.Handle(context.Background(), entry.keyedRequest("GET", "/safe/x", "7", key, time.Minute, ""))
 	}()
 	<-arrived
-	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
+	entry.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
 	if a := <-answers; a.Status != http.StatusOK || s.count() != 1 {
 		t.Errorf("idempotent request: %d, %d requests at the target", a.Status, s.count())
 	}
-	asked.setOwners(startPeer(t, func(c net.Conn) {
+	entry.setOwners(startPeer(t, func(c net.Conn) {
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		arrived <- struct{}{}
 		// The connection stays open until the other side closes it.
 		_, _ = io.Copy(io.Discard, c)
 	}))
 	go func() {
-		answers <- asked.Handle(context.Background(), asked.keyedRequest("POST", "/once/x", "8", asked.peerKey(t), 300*time.Millisecond, ""))
+		answers <- entry.Handle(context.Background(), entry.keyedRequest("POST", "/once/x", "8", entry.peerKey(t), 300*time.Millisecond, ""))
 	}()
 	<-arrived
-	asked.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
+	entry.options.Owners.SetVMs(nil, func(site.VM) bool { return false })
 	if a := <-answers; a.Status != http.StatusGatewayTimeout || s.count() != 1 {
 		t.Errorf("at-most-once request: %d, %d requests at the target", a.Status, s.count())
 	}
--- a/edge/gateway/ended.go
+++ b/edge/gateway/ended.go
@@ -96,7 +96,7 @@
 	}
 	now := time.Now()
 	for _, l := range lost {
-		// 0 is not a valid target.
+		// 0 means no target.
 		g.options.Quarantine.Ended(now, l.fingerprint, placing.HashOf(key)|1)
 	}
 }
--- a/edge/gateway/gateway.go
+++ b/edge/gateway/gateway.go
@@ -71,7 +71,7 @@
 	Dial func(rtt time.Duration) pool.Dial
 }
 
-// Gateway is safe for use by several goroutines.
+// Gateway is safe for concurrent use.
 type Gateway struct {
 	options Options
 	table   atomic.Pointer[route.Table]
@@ -128,7 +128,7 @@
 // Ready reports whether a configuration is known.
 func (g *Gateway) Ready() bool { return g.table.Load() != nil }
 
-// Version returns the version of the configuration in force, 0 for none.
+// Version returns the version of the current configuration, 0 for none.
 func (g *Gateway) Version() uint64 {
 	if t := g.table.Load(); t != nil {
 		return t.Version
--- a/edge/gateway/quarantine_test.go
+++ b/edge/gateway/quarantine_test.go
@@ -105,15 +105,15 @@
 	waitFor(t, "the request never waited", func() bool { return f.options.Balancer.Waiting() == 1 })
 	recordCrashes(q, fingerprintOf("POST", "/once/x", "bad"), 1, 2, 3)
 	close(free)
-	kept := 0
+	refused := 0
 	for range slots + 1 {
 		if a := <-answers; a.Status != http.StatusOK {
-			kept++
+			refused++
 			checkQuarantined(t, a)
 		}
 	}
-	if kept != 1 || s.count() != slots {
-		t.Errorf("%d refused, %d reached the target", kept, s.count())
+	if refused != 1 || s.count() != slots {
+		t.Errorf("%d refused, %d reached the target", refused, s.count())
 	}
 }
 
@@ -144,11 +144,11 @@
 // A request that is quarantined only at the owner of its key is refused there.
 func TestOwnerRefusesQuarantinedRequest(t *testing.T) {
 	s := startTarget(t, "a", ok)
-	asked, owner := newGateway(t, s), newGateway(t, s)
-	asked.setOwners(owner.servePeers(t))
-	asked.withQuarantine()
+	entry, owner := newGateway(t, s), newGateway(t, s)
+	entry.setOwners(owner.servePeers(t))
+	entry.withQuarantine()
 	recordCrashes(owner.withQuarantine(), fingerprintOf("GET", "/safe/x", ""), 1, 2, 3)
-	checkQuarantined(t, asked.Handle(context.Background(), asked.keyedRequest("GET", "/safe/x", "7", asked.peerKey(t), time.Second, "")))
+	checkQuarantined(t, entry.Handle(context.Background(), entry.keyedRequest("GET", "/safe/x", "7", entry.peerKey(t), time.Second, "")))
 	if s.count() != 0 {
 		t.Error("it reached a target")
 	}
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -273,7 +273,7 @@
 	case answer.Header.Get(g.options.Fields.NotRun) != "" || answer.Status == http.StatusMisdirectedRequest:
 		a.code, a.notRun, a.answer = result.TargetShed, true, nil
 	case answer.Header.Get(g.options.Fields.Stamp) == "" && answer.Status < http.StatusBadRequest:
-		// A success without the stamp did not come from the target.
+		// Only the stamp proves that a success came from the target.
 		a.code, a.answer, a.err = result.AnswerTruncated, nil, errNoStamp
 	}
 	return a
--- a/edge/site/site.go
+++ b/edge/site/site.go
@@ -28,9 +28,9 @@
 	UnknownKind string
 	// Timeout bounds the time of a request in addition to its deadline; 0 means no bound.
 	Timeout time.Duration
-	// Objective is the latency objective.
+	// Objective is the latency within which answers should arrive.
 	Objective time.Duration
-	// Priority is the priority of the route; 0 is the highest.
+	// Priority 0 is the highest.
 	Priority int
 	// MaxAttempts bounds the number of targets that one request is sent to.
 	MaxAttempts int
