--- a/edge/peers/peers.go
+++ b/edge/peers/peers.go
@@ -1,5 +1,6 @@
-// Package peers keeps what is known of the other entry VMs: what they registered,
-// and what they reported lately. It decides which of them callers are sent to.
+// Package peers tracks the membership of the entry VMs: their registrations and their latest
+// reports. It determines which VMs are live, which receive reports and digests, which watch the
+// store, and which are offered to callers.
 package peers
 
 import (
@@ -10,53 +11,51 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// suspicionTimeout is how long a VM of the own region may report nothing before callers are
-// not sent to it: its heartbeat comes four times a second, and a paused one is back by then
-// or has lost its callers anyway.
+// suspicionTimeout is how long a VM of this region may be silent before it is no longer offered
+// to callers. Heartbeats arrive four times a second.
 const suspicionTimeout = 1500 * time.Millisecond
 
-// farSuspicionTimeout is the same for VMs of other regions, whose heartbeat comes twice a
-// second. In large fleets reports of only some of them arrive, and the others are taken to
-// live as long as the store lists them.
-const farSuspicionTimeout = 3 * time.Second
+// remoteSuspicionTimeout is the same for VMs of other regions, whose heartbeats arrive twice a
+// second. Only the aggregators of a large region report to other regions; its other VMs count as
+// live while the store lists them.
+const remoteSuspicionTimeout = 3 * time.Second
 
-// State is what a VM reported last.
+// State is the latest report of a VM.
 type State struct {
 	At      time.Time
 	Serving bool
 	Leaving bool
-	// StoreConnected tells that it watches the store and is answered.
+	// StoreConnected is true if its watch of the store works.
 	StoreConnected bool
-	// NoDigest tells that no digest reaches it.
+	// NoDigest is true if it expects digests and receives none.
 	NoDigest bool
 }
 
-// Members holds the VMs. It is safe for use by several goroutines.
+// Members is the membership view of this VM. It is safe for concurrent use.
 type Members struct {
 	own site.VM
-	// started is when this VM began to listen.
+	// started is when this VM began to receive reports.
 	started time.Time
 
 	mu         sync.Mutex
 	registered map[string]site.VM
-	// regions are the registered VMs and this one by region, each region's by name.
-	// They are made anew when the registered VMs change, and not for each call.
+	// regions caches the registered VMs and this one by region, sorted by name.
 	regions map[string][]site.VM
 	states  map[string]State
-	// withoutAt is when a VM last reported that no digest reaches it.
-	withoutAt map[string]time.Time
+	// noDigestAt is when a VM last reported missing digests.
+	noDigestAt map[string]time.Time
 }
 
-// New returns members that hold this VM only.
+// New returns a membership view that contains only this VM.
 func New(own site.VM, now time.Time) *Members {
 	m := &Members{own: own, started: now, registered: make(map[string]site.VM), states: make(map[string]State),
-		withoutAt: make(map[string]time.Time)}
-	m.sortRegions()
+		noDigestAt: make(map[string]time.Time)}
+	m.rebuildRegions()
 	return m
 }
 
-// Register replaces the registered VMs. A VM that has reported lately stays
-// known without a registration: the store may have lost it in an outage.
+// Register replaces the registered VMs. A responsive VM is kept without a registration, as the
+// store may have lost it in an outage.
 func (m *Members) Register(vms []site.VM, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,11 +69,11 @@
 		}
 	}
 	m.registered = next
-	m.sortRegions()
+	m.rebuildRegions()
 }
 
-// sortRegions is called with the lock held.
-func (m *Members) sortRegions() {
+// rebuildRegions must be called with the lock held.
+func (m *Members) rebuildRegions() {
 	m.regions = map[string][]site.VM{m.own.Region: {m.own}}
 	for name, vm := range m.registered {
 		if name != m.own.Name {
@@ -86,24 +85,24 @@
 	}
 }
 
-// Observe takes in a report of a VM. It is known from then on, also if the store has
-// lost its registration. It reports whether that is news.
-func (m *Members) Observe(vm site.VM, s State) (news bool) {
+// Observe records a report received from a VM. The VM becomes a member even if the store lists
+// no registration. It reports whether the VM or its incarnation is new.
+func (m *Members) Observe(vm site.VM, s State) (isNew bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.states[vm.Name] = s
 	if s.NoDigest {
-		m.withoutAt[vm.Name] = s.At
+		m.noDigestAt[vm.Name] = s.At
 	}
 	if known, ok := m.registered[vm.Name]; ok && known.Incarnation >= vm.Incarnation {
 		return false
 	}
 	m.registered[vm.Name] = vm
-	m.sortRegions()
+	m.rebuildRegions()
 	return true
 }
 
-// Others returns the registered VMs but this one, by name.
+// Others returns the registered VMs except this one, sorted by name.
 func (m *Members) Others() []site.VM {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -117,7 +116,7 @@
 	return all
 }
 
-// isResponsive reports whether a VM's last report is recent enough.
+// isResponsive reports whether a VM's latest report is within its suspicion timeout.
 func (m *Members) isResponsive(vm site.VM, now time.Time) bool {
 	state, ok := m.states[vm.Name]
 	return ok && now.Sub(state.At) < m.timeoutOf(vm)
@@ -127,12 +126,12 @@
 	if vm.Region == m.own.Region {
 		return suspicionTimeout
 	}
-	return farSuspicionTimeout
+	return remoteSuspicionTimeout
 }
 
-// live reports whether callers may be sent to a VM. One that has not reported
-// yet is given the benefit of the doubt while this VM is new itself, or is distant.
-func (m *Members) live(vm site.VM, now time.Time) bool {
+// isLive reports whether callers may be sent to a VM. A VM that has not reported yet counts as
+// live if it is in another region or this VM has just started.
+func (m *Members) isLive(vm site.VM, now time.Time) bool {
 	state, ok := m.states[vm.Name]
 	if !ok {
 		return vm.Region != m.own.Region || now.Sub(m.started) < suspicionTimeout
@@ -140,19 +139,14 @@
 	return now.Sub(state.At) < m.timeoutOf(vm) && state.Serving && !state.Leaving
 }
 
-// isolatedAfter is how long no VM of the own region may be heard of before this VM takes
-// itself to be the one that gets no reports. It is longer than full digests are apart, and
-// shorter by more than their age than a VM may be silent.
-const isolatedAfter = 700 * time.Millisecond
+// isolationTimeout is how long all VMs of this region may be silent before this VM considers
+// itself isolated. It is longer than the interval of full digests, and shorter than
+// suspicionTimeout by more than the age of their content.
+const isolationTimeout = 700 * time.Millisecond
 
-// LiveInDomain returns the other VMs of the own failure domain that report that they take
-// callers, by name. It returns false if that is not known, as no report comes at all.
-//
-// Guard against a VM that gets no reports, as it stops or is cut off from datagrams: all
-// others would seem to be unresponsive to it one after the other, and it would give up the
-// requests that they work on. It shows as requests of a VM's callers that are lost 1.5 s
-// after its planned stop began. The guard holds because all reports end at once, long
-// before the first VM is taken to be unresponsive.
+// LiveInDomain returns the other VMs of this failure domain that accept callers, sorted by name.
+// It returns false if this VM receives no reports at all: it is isolated or stopping, and must
+// not conclude that the other VMs have failed and abandon the requests they work on.
 func (m *Members) LiveInDomain(now time.Time) ([]site.VM, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,21 +160,22 @@
 		if state.At.After(newest) {
 			newest = state.At
 		}
-		if vm.Zone == m.own.Zone && m.live(vm, now) {
+		if vm.Zone == m.own.Zone && m.isLive(vm, now) {
 			live = append(live, vm)
 		}
 	}
-	return live, now.Sub(newest) < isolatedAfter
+	return live, now.Sub(newest) < isolationTimeout
 }
 
-// IsResponsive reports whether a VM has reported lately.
+// IsResponsive reports whether a VM's latest report is within its suspicion timeout.
 func (m *Members) IsResponsive(vm site.VM, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.isResponsive(vm, now)
 }
 
-// ObserveIndirect takes in what a listener knows of a VM that may not report to this one.
+// ObserveIndirect records the state of a VM from an aggregator's digest, unless a newer one is
+// known.
 func (m *Members) ObserveIndirect(name string, s State) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,25 +184,22 @@
 	}
 }
 
-// RegionStates returns the last reports of the VMs of the own region that are registered.
+// RegionStates returns the latest reports of the registered VMs of this region, by name.
 func (m *Members) RegionStates() map[string]State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	seen := make(map[string]State)
+	states := make(map[string]State)
 	for name, vm := range m.registered {
 		if state, ok := m.states[name]; ok && vm.Region == m.own.Region {
-			seen[name] = state
+			states[name] = state
 		}
 	}
-	return seen
+	return states
 }
 
-// Responsive returns the names of the responsive VMs of the own region, this one included.
-//
-// Guard against VMs that start at once and have had no report yet: each would take itself for
-// the only one, and all would send to the same cold target. It shows as a target that gets
-// a request from every VM within a moment. The guard holds because a VM that is new itself
-// counts all registered ones until their reports should have come.
+// Responsive returns the names of the responsive VMs of this region, including this one. After
+// the start of this VM, registered VMs without a report are included until suspicionTimeout:
+// otherwise VMs that start together would each use the full rate of a cold target.
 func (m *Members) Responsive(now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -222,21 +214,16 @@
 	return names
 }
 
-// WorkSharers returns the names of the VMs of the own region among which work is divided,
-// this one included: the responsive ones, or all that are listed while less than half of
-// them is responsive.
-//
-// Guard against VMs that were cut off from all others: each would take itself for the only
-// one, and all would send to the same cold target. It shows as a target that gets a request
-// from every such VM within a moment. The guard holds because at most two parts of a region
-// have reports of half of it each, so there are at most two views besides the list's.
+// WorkSharers returns the names of the VMs of this region among which work is divided, including
+// this one: the responsive VMs, or all registered VMs if less than half are responsive. The
+// quorum prevents isolated VMs from each using the full rate of a cold target.
 func (m *Members) WorkSharers(now time.Time) []string {
-	near := m.Responsive(now)
+	responsive := m.Responsive(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := m.regions[m.own.Region]
-	if 2*len(near) >= len(all) {
-		return near
+	if 2*len(responsive) >= len(all) {
+		return responsive
 	}
 	names := make([]string, 0, len(all))
 	for _, vm := range all {
@@ -246,49 +233,48 @@
 }
 
 const (
-	// vmsPerWatch is how many VMs of a region follow one that watches the store,
-	// maxWatches how many watch in one region: one, and one that goes on when it is turned
-	// away. Calls have a price, and the store's rates do not grow with the fleet.
-	vmsPerWatch = 8
-	maxWatches  = 2
+	// vmsPerWatcher is the number of VMs in a region for each VM that watches the store, and
+	// maxWatchers the limit for a region: a primary and a standby. The store's capacity does not
+	// grow with the fleet.
+	vmsPerWatcher = 8
+	maxWatchers   = 2
 )
 
-// ShouldWatch reports whether this VM watches the store: the first ones of each region
-// do, of those that are answered. One that is unresponsive, or not answered, is
-// replaced by the next as soon as it is noticed.
+// ShouldWatch reports whether this VM watches the store: the first VMs of each region do, by
+// name. A watcher that is unresponsive or not connected to the store is replaced by the next VM.
 func (m *Members) ShouldWatch(now time.Time) bool {
-	return m.isAmongFirst(now, maxWatches, isLinked)
+	return m.isAmongFirst(now, maxWatchers, isConnected)
 }
 
-func isLinked(s State) bool { return s.StoreConnected && !s.Leaving }
+func isConnected(s State) bool { return s.StoreConnected && !s.Leaving }
 
-// IsWatchLeader reports whether this VM is the first of those that watch the store.
-func (m *Members) IsWatchLeader(now time.Time) bool { return m.isAmongFirst(now, 1, isLinked) }
+// IsWatchLeader reports whether this VM is the first of the region's watchers.
+func (m *Members) IsWatchLeader(now time.Time) bool { return m.isAmongFirst(now, 1, isConnected) }
 
-// IsDefaultWatcher reports whether this VM is one of those that watch while the store
-// answers all.
+// IsDefaultWatcher reports whether this VM watches when all VMs are connected to the store.
 func (m *Members) IsDefaultWatcher(now time.Time) bool {
-	return m.isAmongFirst(now, maxWatches, func(s State) bool { return !s.Leaving })
+	return m.isAmongFirst(now, maxWatchers, func(s State) bool { return !s.Leaving })
 }
 
-// isAmongFirst reports whether few enough of the VMs that count come before this one.
-func (m *Members) isAmongFirst(now time.Time, most int, counts func(State) bool) bool {
+// isAmongFirst reports whether this VM is among the first responsive and eligible VMs of its
+// region, by name: at most limit, and one for each vmsPerWatcher responsive VMs.
+func (m *Members) isAmongFirst(now time.Time, limit int, eligible func(State) bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	near, before := 1, 0
+	responsive, before := 1, 0
 	for name, vm := range m.registered {
 		if name == m.own.Name || vm.Region != m.own.Region || !m.isResponsive(vm, now) {
 			continue
 		}
-		near++
-		if name < m.own.Name && counts(m.states[name]) {
+		responsive++
+		if name < m.own.Name && eligible(m.states[name]) {
 			before++
 		}
 	}
-	return before < min(most, max(1, near/vmsPerWatch))
+	return before < min(limit, max(1, responsive/vmsPerWatcher))
 }
 
-// Count returns how many VMs are known, this one included.
+// Count returns the number of known VMs, including this one.
 func (m *Members) Count() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -299,9 +285,9 @@
 	return max(1, n)
 }
 
-// EntryAddresses returns where callers of a failure domain connect: the live VMs of their
-// domain, else of their region, else all live ones. own tells whether this VM
-// takes callers. The result is empty if no VM does.
+// EntryAddresses returns the addresses that callers of a failure domain connect to: those of the
+// live VMs of the domain, else of the region, else of all live VMs. own is true if this VM
+// accepts callers. The result is empty if no VM does.
 func (m *Members) EntryAddresses(zone, region string, own bool, now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -319,7 +305,7 @@
 		consider(m.own)
 	}
 	for name, vm := range m.registered {
-		if name != m.own.Name && m.live(vm, now) {
+		if name != m.own.Name && m.isLive(vm, now) {
 			consider(vm)
 		}
 	}
