--- a/edge/exchange/counts.go
+++ b/edge/exchange/counts.go
@@ -8,58 +8,58 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Counts are requests in flight by the key of their target, see placing.KeyOf. A
-// listener tells those of all targets, so they are sent as bytes: the sorted keys,
-// each as its distance to the one before, with its count. That takes a third of a map.
+// Counts are requests in flight by the key of their target, see placing.KeyOf. They are encoded
+// compactly, as an aggregator sends those of all targets: the sorted keys as differences, each
+// with its count, as unsigned varints.
 type Counts map[uint32]int
 
-var errCounts = errors.New("exchange: counts not understood")
+var errMalformedCounts = errors.New("exchange: malformed counts")
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (c Counts) EncodeMsgpack(enc *msgpack.Encoder) error { return enc.EncodeBytes(c.pack()) }
+func (c Counts) EncodeMsgpack(enc *msgpack.Encoder) error { return enc.EncodeBytes(c.encode()) }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (c *Counts) DecodeMsgpack(dec *msgpack.Decoder) error {
-	text, err := dec.DecodeBytes()
+	data, err := dec.DecodeBytes()
 	if err != nil {
 		return err
 	}
-	*c, err = unpack(text)
+	*c, err = decodeCounts(data)
 	return err
 }
 
-func (c Counts) pack() []byte {
+func (c Counts) encode() []byte {
 	keys := make([]uint32, 0, len(c))
 	for key := range c {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	text, last := []byte{}, uint32(0)
+	data, last := []byte{}, uint32(0)
 	for _, key := range keys {
-		text = binary.AppendUvarint(text, uint64(key-last))
-		text = binary.AppendUvarint(text, uint64(max(0, c[key])))
+		data = binary.AppendUvarint(data, uint64(key-last))
+		data = binary.AppendUvarint(data, uint64(max(0, c[key])))
 		last = key
 	}
-	return text
+	return data
 }
 
-func unpack(text []byte) (Counts, error) {
+func decodeCounts(data []byte) (Counts, error) {
 	c, last := make(Counts), uint64(0)
-	for len(text) > 0 {
-		step, n := binary.Uvarint(text)
+	for len(data) > 0 {
+		delta, n := binary.Uvarint(data)
 		if n <= 0 {
-			return nil, errCounts
+			return nil, errMalformedCounts
 		}
-		count, m := binary.Uvarint(text[n:])
+		count, m := binary.Uvarint(data[n:])
 		if m <= 0 {
-			return nil, errCounts
+			return nil, errMalformedCounts
 		}
-		last += step
+		last += delta
 		if last > 1<<32-1 || count > 1<<31-1 {
-			return nil, errCounts
+			return nil, errMalformedCounts
 		}
 		c[uint32(last)] = int(count)
-		text = text[n+m:]
+		data = data[n+m:]
 	}
 	return c, nil
 }
--- a/edge/exchange/counts_test.go
+++ b/edge/exchange/counts_test.go
@@ -8,8 +8,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// targetsOf returns counts at n targets.
-func targetsOf(n int) Counts {
+// randomCounts returns counts of n targets.
+func randomCounts(n int) Counts {
 	r := rand.New(rand.NewPCG(1, 2))
 	c := make(Counts)
 	for len(c) < n {
@@ -18,16 +18,15 @@
 	return c
 }
 
-// What one VM sends of its targets, none and the greatest key among them, is what the
-// other one reads.
-func TestCountsAreReadAsSent(t *testing.T) {
-	for _, c := range []Counts{{}, {0: 1}, {1<<32 - 1: 3, 0: 200}, targetsOf(500)} {
-		text, err := msgpack.Marshal(&State{InFlight: c})
+// Counts survive encoding and decoding, including empty ones and the largest key.
+func TestCountsRoundTrip(t *testing.T) {
+	for _, c := range []Counts{{}, {0: 1}, {1<<32 - 1: 3, 0: 200}, randomCounts(500)} {
+		data, err := msgpack.Marshal(&State{InFlight: c})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got State
-		if err := msgpack.Unmarshal(text, &got); err != nil {
+		if err := msgpack.Unmarshal(data, &got); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(c, got.InFlight); diff != "" {
@@ -36,27 +35,26 @@
 	}
 }
 
-// At 300 VMs a listener knew 3,000 targets. With 10 bytes each the datagram was larger than
-// any that is sent, and the VMs of the region heard nothing more of each other.
-func TestAThousandBusyTargetsFitADatagram(t *testing.T) {
-	text, err := msgpack.Marshal(&State{Digest: &Digest{InFlight: targetsOf(3000)}})
+// Guards against digests of large regions that exceed the maximum datagram size.
+func TestCountsOfLargeRegionFitDatagram(t *testing.T) {
+	data, err := msgpack.Marshal(&State{Digest: &Digest{InFlight: randomCounts(3000)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(text) > maxDatagram*2/3 {
-		t.Errorf("%d bytes", len(text))
+	if len(data) > maxDatagram*2/3 {
+		t.Errorf("%d bytes", len(data))
 	}
 }
 
 func FuzzCounts(f *testing.F) {
 	f.Add([]byte{1, 2, 0xff})
-	f.Add(targetsOf(3).pack())
-	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := unpack(text)
+	f.Add(randomCounts(3).encode())
+	f.Fuzz(func(t *testing.T, data []byte) {
+		c, err := decodeCounts(data)
 		if err != nil {
 			return
 		}
-		again, err := unpack(c.pack())
+		again, err := decodeCounts(c.encode())
 		if err != nil || !cmp.Equal(c, again) {
 			t.Errorf("%v became %v, %v", c, again, err)
 		}
@@ -64,8 +62,8 @@
 }
 
 func BenchmarkCounts(b *testing.B) {
-	c := targetsOf(1000)
+	c := randomCounts(1000)
 	for b.Loop() {
-		b.ReportMetric(float64(len(c.pack())), "bytes")
+		b.ReportMetric(float64(len(c.encode())), "bytes")
 	}
 }
--- a/edge/exchange/exchange.go
+++ b/edge/exchange/exchange.go
@@ -1,13 +1,12 @@
-// Package exchange reports to the other entry VMs, by datagrams, which requests this VM
-// has in flight at which target, how much its callers ask for, and that it lives.
-// A datagram holds the whole state, so that a lost one is made good by the next.
+// Package exchange sends the state of this VM to the other entry VMs in UDP datagrams: its
+// requests in flight by target, the demand of its callers, and its liveness. Each datagram
+// contains the complete state, so a lost one is compensated by the next.
 //
-// In a small region every VM reports to every other one. In a large one they report
-// to a few listeners, and the first of these sends out a digest: the sum
-// of all that it received. The digest goes to one VM of each failure domain, a relay, which
-// sends it on to the others of its domain. The datagrams of a VM then do not grow
-// with the region, and those between failure domains neither. Listeners of different
-// regions exchange the sums of their regions.
+// In a small region every VM reports to every other VM. In a large region VMs report to a few
+// aggregators, and the primary aggregator sends a digest: the sums over all reports that it
+// received. It sends the digest to one VM of each failure domain, a relay, which forwards it to
+// the VMs of its domain. Neither the datagrams of a VM nor those between failure domains then
+// grow with the region. The aggregators of different regions exchange the sums of their regions.
 package exchange
 
 import (
@@ -26,96 +25,94 @@
 )
 
 const (
-	// heartbeatInterval is the longest time between two reports to the VMs of the own region;
-	// farHeartbeatInterval to others, which need sums and liveness only.
-	heartbeatInterval    = 250 * time.Millisecond
-	farHeartbeatInterval = 500 * time.Millisecond
-	// minReportInterval is the shortest time between two reports in a small region: a
-	// small part of the shortest service time.
+	// heartbeatInterval is the longest time between two reports to VMs of this region, and
+	// remoteHeartbeatInterval to other regions, which need only sums and liveness.
+	heartbeatInterval       = 250 * time.Millisecond
+	remoteHeartbeatInterval = 500 * time.Millisecond
+	// minReportInterval is the shortest time between two reports in a small region. It is short
+	// compared to service times.
 	minReportInterval = 20 * time.Millisecond
-	// minReportIntervalLarge is the same in a large region, where many VMs share each target
-	// and no one of them changes its count by much. It is also the time between
-	// two digests.
+	// minReportIntervalLarge is the same for reports and digests in a large region, where many
+	// VMs share each target and a single VM changes its load little.
 	minReportIntervalLarge = 150 * time.Millisecond
-	// fullDigestEvery is in how many digests one is full: it has what is needed less often,
-	// the counts of other regions and which VMs are responsive. Two such intervals are
-	// shorter than counts are trusted.
-	fullDigestEvery = 3
-	// maxDatagram is below the smallest usual MTU times a few fragments; maxTail of it
-	// are for what a relay adds.
-	maxDatagram = 16 << 10
-	maxTail     = 256
+	// detailedDigestEvery is the number of digests of which one has details. Two such intervals
+	// are shorter than the lifetime of counts, so that one lost digest is tolerated.
+	detailedDigestEvery = 3
+	// maxDatagram limits a datagram to a few IP fragments, and relayReserve is the part reserved
+	// for what a relay appends, both in bytes.
+	maxDatagram  = 16 << 10
+	relayReserve = 256
 )
 
-// Peer is a VM that gets datagrams.
+// Peer is a VM that receives datagrams.
 type Peer struct {
 	Name    string
 	Address string
 }
 
-// Recipients is who gets what.
+// Recipients are the VMs to send reports and digests to.
 type Recipients struct {
-	// SameRegion are the listeners of the own region, without this VM; OtherRegions those of
-	// other regions.
+	// SameRegion and OtherRegions receive reports: the aggregators of this region, without this
+	// VM, and those of other regions.
 	SameRegion, OtherRegions []Peer
-	// Digests get a digest, and Relays one to relay: this VM is the first listener
-	// of a large region.
+	// Digests receive a digest, and Relays receive one to forward. Both are empty unless this VM
+	// is the primary aggregator of a large region.
 	Digests, Relays []Peer
-	// Large tells that the region has listeners.
+	// Large is true if only the aggregators of the region receive all reports.
 	Large bool
 }
 
 // Options configure an Exchange.
 type Options struct {
-	// Address is ip:port for datagrams.
+	// Address is the ip:port that datagrams are received on and sent from.
 	Address string
 	Logger  *logrus.Entry
-	// State returns what to report, the sums of the region if they are asked for.
+	// State returns the state to report, with the sums of the region if sum is true.
 	State func(sum bool) State
-	// Digest returns the digest for all VMs of the region.
-	Digest func(full bool) *Digest
-	// Recipients returns who gets reports and digests now.
+	// Digest returns the digest of the region.
+	Digest func(detailed bool) *Digest
+	// Recipients returns the current recipients of reports and digests.
 	Recipients func() Recipients
-	// RelayTo returns to whom this VM relays a digest, and what it adds.
+	// RelayTo returns the VMs to which this VM forwards a digest, and what it appends.
 	RelayTo func() ([]Peer, Relay)
-	// Received is called with each newer state of another VM.
+	// Received is called with each state of another VM that is newer than the last one.
 	Received func(State)
 }
 
-// Exchange sends and receives. It is safe for use by several goroutines.
+// Exchange sends and receives reports and digests. It is safe for concurrent use.
 type Exchange struct {
 	options Options
 	conn    *net.UDPConn
-	// changed holds one token while there is news to tell, urgent tells that other regions
-	// should have it with the next report.
+	// changed holds a token while a report is requested; urgent is set if the next report also
+	// goes to other regions.
 	changed chan struct{}
 	urgent  atomic.Bool
 
-	mu    sync.Mutex
-	addrs map[string]netip.AddrPort
-	sent  uint64
-	order order
+	mu        sync.Mutex
+	addrs     map[string]netip.AddrPort
+	sent      uint64
+	sequences sequenceTracker
 }
 
-// Start binds the address and listens until the context ends.
+// Start binds the address, and sends and receives until the context is done.
 func Start(ctx context.Context, o Options) (*Exchange, error) {
 	addr, err := net.ResolveUDPAddr("udp4", o.Address)
 	if err != nil {
-		return nil, errors.Wrap(err, "exchange: address")
+		return nil, errors.Wrap(err, "exchange: resolve address")
 	}
 	conn, err := net.ListenUDP("udp4", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "exchange: listen")
 	}
 	e := &Exchange{options: o, conn: conn, changed: make(chan struct{}, 1),
-		addrs: make(map[string]netip.AddrPort), order: make(order)}
+		addrs: make(map[string]netip.AddrPort), sequences: make(sequenceTracker)}
 	context.AfterFunc(ctx, func() { _ = conn.Close() })
 	go e.receive()
 	go e.sendLoop(ctx)
 	return e, nil
 }
 
-// RequestReport asks for a datagram soon. It never blocks.
+// RequestReport requests a report ahead of the next heartbeat. It never blocks.
 func (e *Exchange) RequestReport() {
 	select {
 	case e.changed <- struct{}{}:
@@ -123,23 +120,23 @@
 	}
 }
 
-// RequestUrgentReport is Changed for news that other regions should have as soon as the own one.
+// RequestUrgentReport is like RequestReport, but the report also goes to other regions.
 func (e *Exchange) RequestUrgentReport() {
 	e.urgent.Store(true)
 	e.RequestReport()
 }
 
-// Flush sends reports to all now.
+// Flush sends reports to all recipients immediately.
 func (e *Exchange) Flush() {
 	to := e.options.Recipients()
-	e.report(to.SameRegion, false)
-	e.report(to.OtherRegions, to.Large)
+	e.sendReport(to.SameRegion, false)
+	e.sendReport(to.OtherRegions, to.Large)
 }
 
 func (e *Exchange) sendLoop(ctx context.Context) {
 	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
-	farAt := time.Now()
+	remoteAt := time.Now()
 	for round := 0; ; round++ {
 		select {
 		case <-ctx.Done():
@@ -148,12 +145,12 @@
 		case <-e.changed:
 		}
 		to := e.options.Recipients()
-		e.report(to.SameRegion, false)
-		if e.urgent.Swap(false) || time.Since(farAt) >= farHeartbeatInterval {
-			farAt = time.Now()
-			e.report(to.OtherRegions, to.Large)
+		e.sendReport(to.SameRegion, false)
+		if e.urgent.Swap(false) || time.Since(remoteAt) >= remoteHeartbeatInterval {
+			remoteAt = time.Now()
+			e.sendReport(to.OtherRegions, to.Large)
 		}
-		e.digest(to, round%fullDigestEvery == 0)
+		e.sendDigest(to, round%detailedDigestEvery == 0)
 		pause := minReportInterval
 		if to.Large {
 			pause = minReportIntervalLarge
@@ -164,71 +161,72 @@
 	}
 }
 
-// report sends this VM's state, or its region's sums.
-func (e *Exchange) report(to []Peer, sum bool) {
+// sendReport sends the state of this VM, with the sums of its region if sum is true.
+func (e *Exchange) sendReport(to []Peer, sum bool) {
 	if len(to) == 0 {
 		return
 	}
 	state := e.options.State(sum)
 	state.Sum = sum
-	text := e.encode(&state)
+	datagram := e.encode(&state)
 	for _, p := range to {
-		e.write(text, p)
+		e.write(datagram, p)
 	}
 }
 
-// digest sends the VMs of the region what all of them do.
-func (e *Exchange) digest(to Recipients, full bool) {
+// sendDigest sends the digest of the region, directly and by relays.
+func (e *Exchange) sendDigest(to Recipients, detailed bool) {
 	if len(to.Digests)+len(to.Relays) == 0 {
 		return
 	}
 	state := e.options.State(false)
-	state.Digest = e.options.Digest(full)
-	text := e.encode(&state)
-	if text == nil {
+	state.Digest = e.options.Digest(detailed)
+	datagram := e.encode(&state)
+	if datagram == nil {
 		return
 	}
 	for _, p := range to.Digests {
-		e.write(text, p)
+		e.write(datagram, p)
 	}
-	text[0] = toRelay
+	datagram[0] = kindRelay
 	for _, p := range to.Relays {
-		e.write(text, p)
+		e.write(datagram, p)
 	}
 }
 
-// The first byte of a datagram tells what the receiver does with it.
+// Kinds of datagrams, sent as the first byte. The receiver forwards one of kindRelay to its
+// failure domain.
 const (
-	toKeep  = 0
-	toRelay = 1
+	kindDirect = 0
+	kindRelay  = 1
 )
 
-// encode numbers and renders a state, nil if that fails.
+// encode assigns the next sequence number and returns the datagram, or nil if that fails.
 func (e *Exchange) encode(state *State) []byte {
 	e.mu.Lock()
 	e.sent++
 	state.Sequence = e.sent
 	e.mu.Unlock()
 	body, err := msgpack.Marshal(state)
-	if err != nil || len(body) >= maxDatagram-maxTail {
-		e.options.Logger.WithError(err).WithField("bytes", len(body)).Error("exchange: state cannot be sent")
+	if err != nil || len(body) >= maxDatagram-relayReserve {
+		e.options.Logger.WithError(err).WithField("bytes", len(body)).Error("exchange: cannot send state: encoding failed or datagram too large")
 		return nil
 	}
-	return append([]byte{toKeep}, body...)
+	return append([]byte{kindDirect}, body...)
 }
 
-func (e *Exchange) write(text []byte, to Peer) {
-	addr, ok := e.address(to)
-	if text == nil || !ok {
+func (e *Exchange) write(datagram []byte, to Peer) {
+	addr, ok := e.resolve(to)
+	if datagram == nil || !ok {
 		return
 	}
-	// A datagram that is not sent is made good by the next one; the peer's
-	// silence is what counts, and is logged there.
-	_, _ = e.conn.WriteToUDPAddrPort(text, addr)
+	// The error is ignored: the next datagram repeats the state, and a peer that stays silent is
+	// detected by its timeout.
+	_, _ = e.conn.WriteToUDPAddrPort(datagram, addr)
 }
 
-// address parses a VM's address once.
-func (e *Exchange) address(to Peer) (netip.AddrPort, bool) {
+// resolve returns the parsed address of a peer and caches it.
+func (e *Exchange) resolve(to Peer) (netip.AddrPort, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	addr, ok := e.addrs[to.Address]
@@ -237,7 +235,7 @@
 	}
 	addr, err := netip.ParseAddrPort(to.Address)
 	if err != nil {
-		e.options.Logger.WithError(err).WithField("peer", to.Name).Warn("exchange: peer without a usable address")
+		e.options.Logger.WithError(err).WithField("peer", to.Name).Warn("exchange: invalid peer address")
 	}
 	e.addrs[to.Address] = addr
 	return addr, err == nil
@@ -253,44 +251,44 @@
 		if err != nil {
 			continue
 		}
-		e.take(buffer[:n])
+		e.handleDatagram(buffer[:n])
 	}
 }
 
-// take takes in one datagram, after it was passed on.
-func (e *Exchange) take(text []byte) {
-	if len(text) == 0 || text[0] > toRelay {
-		e.options.Logger.WithField("bytes", len(text)).Warn("exchange: datagram of an unknown kind")
+// handleDatagram decodes a datagram, forwards it if it is to be relayed, and delivers its state.
+func (e *Exchange) handleDatagram(datagram []byte) {
+	if len(datagram) == 0 || datagram[0] > kindRelay {
+		e.options.Logger.WithField("bytes", len(datagram)).Warn("exchange: unknown datagram kind")
 		return
 	}
-	s, err := decode(text[1:])
+	s, err := decode(datagram[1:])
 	if err != nil {
-		e.options.Logger.WithError(err).Warn("exchange: datagram not understood")
+		e.options.Logger.WithError(err).Warn("exchange: cannot decode datagram")
 		return
 	}
 	e.mu.Lock()
-	news := e.order.isNews(s, time.Now())
+	isNew := e.sequences.accept(s, time.Now())
 	e.mu.Unlock()
-	if !news {
+	if !isNew {
 		return
 	}
-	if text[0] == toRelay {
-		e.relay(text)
+	if datagram[0] == kindRelay {
+		e.relay(datagram)
 	}
 	e.options.Received(s)
 }
 
-// relay sends a datagram to the VMs of the own failure domain.
-func (e *Exchange) relay(text []byte) {
+// relay forwards a digest to the VMs of this failure domain and appends this VM as the relay.
+func (e *Exchange) relay(datagram []byte) {
 	to, own := e.options.RelayTo()
-	tail, err := msgpack.Marshal(&own)
+	trailer, err := msgpack.Marshal(&own)
 	if err != nil {
-		e.options.Logger.WithError(err).Error("exchange: digest not passed on")
+		e.options.Logger.WithError(err).Error("exchange: cannot relay digest")
 		return
 	}
-	text[0] = toKeep
-	text = append(text, tail...)
+	datagram[0] = kindDirect
+	datagram = append(datagram, trailer...)
 	for _, p := range to {
-		e.write(text, p)
+		e.write(datagram, p)
 	}
 }
--- a/edge/exchange/exchange_test.go
+++ b/edge/exchange/exchange_test.go
@@ -14,23 +14,23 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return logrus.NewEntry(l)
 }
 
-// vm is one end of the exchange.
+// vm is an exchange that records the states it receives.
 type vm struct {
 	*Exchange
 	address  string
 	mu       sync.Mutex
 	received map[string]State
-	news     chan struct{}
+	updates  chan struct{}
 	inFlight Counts
-	// to is who gets this VM's reports.
+	// to are the recipients of this VM's reports.
 	to atomic.Pointer[Recipients]
-	// relayTo is to whom it relays digests.
+	// relayTo are the VMs to which it relays digests.
 	relayTo atomic.Pointer[[]Peer]
 }
 
@@ -40,15 +40,15 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	v := &vm{received: make(map[string]State), news: make(chan struct{}, 100), inFlight: Counts{7: 1}}
+	v := &vm{received: make(map[string]State), updates: make(chan struct{}, 100), inFlight: Counts{7: 1}}
 	v.sendsTo(Recipients{})
 	v.relayTo.Store(&[]Peer{})
 	e, err := Start(ctx, Options{
-		Address: "127.0.0.1:0", Logger: quiet(),
+		Address: "127.0.0.1:0", Logger: discardLogger(),
 		Recipients: func() Recipients { return *v.to.Load() },
-		Digest: func(full bool) *Digest {
+		Digest: func(detailed bool) *Digest {
 			d := &Digest{InFlight: Counts{8: 2}}
-			if full {
+			if detailed {
 				d.Details = &DigestDetails{VMs: []VMStatus{{Name: "b", Age: time.Second}}}
 			}
 			return d
@@ -63,7 +63,7 @@
 			defer v.mu.Unlock()
 			v.received[s.VM.Name] = s
 			select {
-			case v.news <- struct{}{}:
+			case v.updates <- struct{}{}:
 			default:
 			}
 		},
@@ -76,13 +76,13 @@
 	return v
 }
 
-// Each VM hears what the other one has in hand, and what it knows of the store.
-func TestVMsHearEachOther(t *testing.T) {
+// Each VM receives the requests in flight, demand and store revision of the other.
+func TestVMsReceiveEachOthersReports(t *testing.T) {
 	a, b := startVM(t, "a"), startVM(t, "b")
 	a.sendsTo(Recipients{SameRegion: []Peer{{Name: "b", Address: b.address}, {Name: "odd", Address: "nowhere"}}})
 	b.sendsTo(Recipients{SameRegion: []Peer{{Name: "a", Address: a.address}}})
-	<-a.news
-	<-b.news
+	<-a.updates
+	<-b.updates
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.received["a"]
@@ -91,10 +91,9 @@
 	}
 }
 
-// Datagrams overtake each other, and a VM is restarted. An older one must not bring back
-// requests that have ended.
+// Guards against reordered datagrams and datagrams of an earlier process that restore old counts.
 func TestOlderDatagramsAreDropped(t *testing.T) {
-	o, now := make(order), time.Now()
+	tracker, now := make(sequenceTracker), time.Now()
 	state := func(incarnation, number uint64) State {
 		return State{VM: site.VM{Name: "a", Incarnation: incarnation}, Sequence: number}
 	}
@@ -105,14 +104,14 @@
 		{state(1, 5), true}, {state(1, 4), false}, {state(1, 5), false}, {state(1, 6), true},
 		{state(2, 1), true}, {state(1, 7), false}, {state(2, 2), true},
 	} {
-		if got := o.isNews(c.s, now); got != c.want {
-			t.Errorf("datagram %d: news %v", i, got)
+		if got := tracker.accept(c.s, now); got != c.want {
+			t.Errorf("datagram %d: accepted %v", i, got)
 		}
 	}
 }
 
-// Somebody sends nonsense to the port.
-func TestNonsenseIsIgnored(t *testing.T) {
+// Guards against malformed datagrams that stop the receiver.
+func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	a, b := startVM(t, "a"), startVM(t, "b")
 	c, err := net.Dial("udp", b.address)
 	if err != nil {
@@ -125,66 +124,64 @@
 		}
 	}
 	a.sendsTo(Recipients{SameRegion: []Peer{{Name: "b", Address: b.address}}})
-	<-b.news
+	<-b.updates
 }
 
-// The state changes many times in a moment. Datagrams stay few: each costs a wake-up at
-// every VM of the region.
-func TestChangesAreGathered(t *testing.T) {
+// Guards against a datagram for each of many changes in a short time.
+func TestReportRequestsAreCoalesced(t *testing.T) {
 	a, b := startVM(t, "a"), startVM(t, "b")
 	a.sendsTo(Recipients{SameRegion: []Peer{{Name: "b", Address: b.address}}})
-	<-b.news
+	<-b.updates
 	began := time.Now()
 	for range 10000 {
 		a.RequestReport()
 	}
 	a.Exchange.mu.Lock()
 	defer a.Exchange.mu.Unlock()
-	most := uint64(3 + time.Since(began)/minReportInterval)
-	if a.sent > most+1 {
-		t.Errorf("%d datagrams, at most %d", a.sent, most)
+	limit := uint64(3 + time.Since(began)/minReportInterval)
+	if a.sent > limit+1 {
+		t.Errorf("%d datagrams sent, want at most %d", a.sent, limit)
 	}
 }
 
-// In a large region a VM that is no listener gets a digest, and now and then who was heard.
-func TestDigestsReachTheOthers(t *testing.T) {
+// In a large region VMs that are not aggregators receive digests, some with the states of all VMs.
+func TestDigestsReachOtherVMs(t *testing.T) {
 	a, b := startVM(t, "a"), startVM(t, "b")
 	a.sendsTo(Recipients{Large: true, Digests: []Peer{{Name: "b", Address: b.address}}})
-	seen := false
-	for range 2 * fullDigestEvery {
-		<-b.news
+	listed := false
+	for range 2 * detailedDigestEvery {
+		<-b.updates
 		b.mu.Lock()
 		d := b.received["a"].Digest
 		if d == nil || d.InFlight[8] != 2 {
 			t.Fatalf("%+v", b.received["a"])
 		}
-		seen = seen || d.Details != nil && len(d.Details.VMs) == 1 && d.Details.VMs[0].Name == "b"
+		listed = listed || d.Details != nil && len(d.Details.VMs) == 1 && d.Details.VMs[0].Name == "b"
 		b.mu.Unlock()
 	}
-	if !seen {
-		t.Error("never told who was heard")
+	if !listed {
+		t.Error("no digest listed the VMs")
 	}
 }
 
-// A listener sends its digest to one VM of a failure domain, and the others there have it
-// from that one as the listener's, once.
-func TestDigestsArePassedOn(t *testing.T) {
+// A relay forwards a digest to the VMs of its failure domain exactly once, as the aggregator's.
+func TestDigestsAreRelayed(t *testing.T) {
 	a, b, c := startVM(t, "a"), startVM(t, "b"), startVM(t, "c")
 	b.relayTo.Store(&[]Peer{{Name: "c", Address: c.address}})
 	c.relayTo.Store(&[]Peer{{Name: "b", Address: b.address}})
 	a.sendsTo(Recipients{Large: true, Relays: []Peer{{Name: "b", Address: b.address}}})
-	<-c.news
+	<-c.updates
 	a.sendsTo(Recipients{})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, ok := c.received["a"]
 	if !ok || s.Digest == nil || s.Digest.InFlight[8] != 2 {
-		t.Errorf("heard %+v", c.received)
+		t.Errorf("received %+v", c.received)
 	}
 	if s.Relay == nil || *s.Relay != (Relay{Peer: "b", Revision: 8}) {
-		t.Errorf("passed on by %+v", s.Relay)
+		t.Errorf("relayed by %+v", s.Relay)
 	}
 	if len(c.received) != 1 {
-		t.Errorf("heard of %d VMs", len(c.received))
+		t.Errorf("received states of %d VMs", len(c.received))
 	}
 }
--- a/edge/exchange/state.go
+++ b/edge/exchange/state.go
@@ -12,60 +12,60 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// State is what one VM reports.
+// State is the report of one VM.
 type State struct {
-	// VM is how the VM registered itself: the store may have lost that.
+	// VM is the VM's registration, which the store may have lost.
 	VM site.VM `msgpack:"v"`
 	// Sequence orders the datagrams of one incarnation.
 	Sequence uint64 `msgpack:"n"`
-	// Leaving tells that the VM takes no new callers, Serving that it can.
+	// Leaving is true if the VM is stopping and takes no new callers, Serving if it is ready.
 	Leaving bool `msgpack:"l"`
 	Serving bool `msgpack:"s"`
-	// StoreConnected tells that the VM watches the store and is answered.
+	// StoreConnected is true if the VM's watch of the store works.
 	StoreConnected bool `msgpack:"k"`
-	// Revision is that of its copy of the store.
+	// Revision is the revision of its replica of the store.
 	Revision uint64 `msgpack:"x"`
-	// Sum tells that InFlight and Demand are those of the whole region.
+	// Sum is true if InFlight and Demand are sums over the whole region.
 	Sum bool `msgpack:"w"`
-	// InFlight counts requests by target, Demand the slots needed by service.
+	// InFlight counts requests by target, Demand is the number of slots needed by service.
 	InFlight Counts             `msgpack:"h"`
 	Demand   map[string]float64 `msgpack:"d"`
-	// Events are what was seen lately of requests that end targets: by the VM itself, and in a
-	// large region by others of it, or of other regions in what a listener sends to its own.
+	// Events are recent quarantine events: those of the VM itself, and those that it forwards as
+	// an aggregator.
 	Events []quarantine.Event `msgpack:"e,omitempty"`
-	// NoDigest tells that the VM should get digests and gets none.
+	// NoDigest is true if the VM expects digests and receives none.
 	NoDigest bool `msgpack:"f,omitempty"`
-	// Digest is set in what a listener sends to VMs that are none.
+	// Digest is set if an aggregator sends to VMs that are not aggregators.
 	Digest *Digest `msgpack:"g,omitempty"`
-	// Relay is the relay that passed this on, nil if it came from the VM itself.
+	// Relay is the relay that forwarded this state, nil if the VM sent it directly.
 	Relay *Relay `msgpack:"-"`
 }
 
-// Relay is a relay of the receiver's failure domain.
+// Relay identifies the VM that forwarded a digest in the receiver's failure domain.
 type Relay struct {
 	Peer string `msgpack:"p"`
-	// Revision is that of the relay's copy of the store.
+	// Revision is the revision of the relay's replica of the store.
 	Revision uint64 `msgpack:"x"`
 }
 
-// Digest is what a listener received from all VMs of its region, the receiver among them.
+// Digest has the sums over all VMs of a region, including the receiver.
 type Digest struct {
 	InFlight Counts             `msgpack:"h"`
 	Demand   map[string]float64 `msgpack:"d"`
-	// Details is set in some digests only.
+	// Details is set in every detailedDigestEvery-th digest.
 	Details *DigestDetails `msgpack:"r,omitempty"`
 }
 
-// DigestDetails is the part of a digest that is needed less often.
+// DigestDetails is the part of a digest that is sent less often.
 type DigestDetails struct {
-	// InFlight are the requests of other regions, Demand is by region and service.
+	// InFlight counts requests of other regions, Demand is by region and service.
 	InFlight Counts                        `msgpack:"h"`
 	Demand   map[string]map[string]float64 `msgpack:"d"`
-	// VMs are the VMs of the own region.
+	// VMs are the VMs of the aggregator's region.
 	VMs []VMStatus `msgpack:"s"`
 }
 
-// VMStatus is what a listener knows of one VM.
+// VMStatus is an aggregator's view of one VM. Age is the time since its last report.
 type VMStatus struct {
 	//lint:ignore U1000 the msgpack library reads its tag: an array, without field names
 	_msgpack       struct{} `msgpack:",as_array"`
@@ -76,10 +76,10 @@
 	StoreConnected bool
 }
 
-// decode reads a state and, after it, by whom it was passed on.
-func decode(text []byte) (State, error) {
+// decode decodes a state and the relay that may follow it.
+func decode(data []byte) (State, error) {
 	var s State
-	dec := msgpack.NewDecoder(bytes.NewReader(text))
+	dec := msgpack.NewDecoder(bytes.NewReader(data))
 	if err := dec.Decode(&s); err != nil {
 		return s, err
 	}
