--- a/edge/quarantine/answers.go
+++ b/edge/quarantine/answers.go
@@ -6,55 +6,53 @@
 )
 
 const (
-	// answersFor is how long an answered request is remembered, up to twice as long. A request
-	// that begins to end targets just after it was answered is found out after that only.
-	answersFor = 5 * time.Second
-	// maxAnswers bounds the requests that are remembered in that time.
+	// answerTTL is the minimum time for which an answered request is remembered; the maximum is
+	// twice as long. It delays the detection of a request that starts to crash targets after it
+	// was answered.
+	answerTTL = 5 * time.Second
+	// maxAnswers limits the requests that are remembered in each such period.
 	maxAnswers = 4096
 )
 
-// answers remembers which requests targets answered lately, at this VM or at others that told.
-// It is safe for use by several goroutines.
-//
-// Load pattern: many callers send the same request, and many targets crash at once. Each of
-// them had it, so that it would be quarantined though it ends none. An end therefore says
-// nothing of a request that was answered shortly before.
+// answers remembers which requests were recently answered by targets, at this VM or at others. A
+// crash is not counted against them: when many targets crash at once, a frequent request was
+// probably in flight at several of them without causing it. It is safe for concurrent use.
 type answers struct {
 	mu sync.Mutex
-	// current holds the requests answered since began, last those of the time before.
-	current, last map[Fingerprint]struct{}
-	began         time.Time
+	// current holds the requests answered since rotatedAt, previous those of the period before.
+	current, previous map[Fingerprint]struct{}
+	rotatedAt         time.Time
 }
 
-// add notes that a target answered a request.
+// add records that a target answered a request.
 func (a *answers) add(now time.Time, f Fingerprint) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.turn(now)
+	a.rotate(now)
 	if len(a.current) < maxAnswers {
 		a.current[f] = struct{}{}
 	}
 }
 
-// has reports whether a target answered a request lately.
+// has reports whether a target answered a request recently.
 func (a *answers) has(now time.Time, f Fingerprint) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.turn(now)
+	a.rotate(now)
 	_, current := a.current[f]
-	_, last := a.last[f]
-	return current || last
+	_, previous := a.previous[f]
+	return current || previous
 }
 
-// turn forgets the oldest answers when their time is over.
-func (a *answers) turn(now time.Time) {
-	age := now.Sub(a.began)
-	if a.current != nil && age < answersFor {
+// rotate discards the older period once the current one is over.
+func (a *answers) rotate(now time.Time) {
+	age := now.Sub(a.rotatedAt)
+	if a.current != nil && age < answerTTL {
 		return
 	}
-	a.last = nil
-	if age < 2*answersFor {
-		a.last = a.current
+	a.previous = nil
+	if age < 2*answerTTL {
+		a.previous = a.current
 	}
-	a.current, a.began = make(map[Fingerprint]struct{}), now
+	a.current, a.rotatedAt = make(map[Fingerprint]struct{}), now
 }
--- a/edge/quarantine/answers_test.go
+++ b/edge/quarantine/answers_test.go
@@ -13,13 +13,13 @@
 		t.Error("answered before any answer")
 	}
 	a.add(start, f)
-	if !a.has(start.Add(answersFor), f) || a.has(start.Add(2*answersFor), f) {
+	if !a.has(start.Add(answerTTL), f) || a.has(start.Add(2*answerTTL), f) {
 		t.Error("an answer is not remembered for one turn and forgotten after the second")
 	}
 	for i := range 3 * maxAnswers {
-		a.add(start.Add(2*answersFor), requestNamed(fmt.Sprint(i)))
+		a.add(start.Add(2*answerTTL), requestNamed(fmt.Sprint(i)))
 	}
-	if n := len(a.current) + len(a.last); n > 2*maxAnswers {
+	if n := len(a.current) + len(a.previous); n > 2*maxAnswers {
 		t.Errorf("%d answers are kept", n)
 	}
 }
--- a/edge/quarantine/journal_test.go
+++ b/edge/quarantine/broadcast_test.go
@@ -36,13 +36,13 @@
 // Guards against reports that grow with the ends, or that carry old ones.
 func TestJournalIsBounded(t *testing.T) {
 	var j BroadcastQueue
-	for target := range uint64(10 * maxTold) {
+	for target := range uint64(10 * maxBroadcasts) {
 		j.Add(start, Event{Request: requestNamed("f"), Target: target + 1}, false)
 	}
-	if n := len(j.Pending(start, true)); n != maxTold {
+	if n := len(j.Pending(start, true)); n != maxBroadcasts {
 		t.Errorf("%d events in one report", n)
 	}
-	if n := len(j.Pending(start.Add(tellFor+1), true)); n != 0 {
+	if n := len(j.Pending(start.Add(broadcastTTL+1), true)); n != 0 {
 		t.Errorf("%d old events", n)
 	}
 }
--- a/edge/quarantine/fingerprint.go
+++ b/edge/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine finds requests that end the targets that run them, and keeps such
-// requests from further targets.
+// Package quarantine detects poison requests, which crash the targets that process them, and stops
+// sending them to further targets.
 package quarantine
 
 import (
@@ -10,48 +10,47 @@
 	"github.com/pkg/errors"
 )
 
-// Fingerprint names a request by what a target sees of it, so that it is known again when it
-// is repeated under another id and at another VM. It is the same on all VMs. Callers choose
-// what it is made of, so it is a part of a cryptographic hash: nobody can make a request
-// that is taken for another caller's.
+// Fingerprint identifies a request by its content, so that a repetition is recognized under
+// another request ID and at any VM. It is a truncated cryptographic hash: callers choose the
+// content, and must not be able to produce the fingerprint of another caller's request.
 type Fingerprint [16]byte
 
-// Content is what a fingerprint is made of.
+// Content is the part of a request that determines its fingerprint.
 type Content struct {
 	Method, Host string
-	// Target is the request target, path and query.
+	// Target is the request target: path and query.
 	Target string
-	// Account and Authorization name the caller, "" if they are not given.
+	// Account and Authorization identify the caller, "" if absent.
 	Account, Authorization string
 	Body                   []byte
 }
 
-// usualHead is the length in bytes of what most requests have besides their body.
-const usualHead = 256
+// headerCapacity is the initial capacity in bytes for everything but the body.
+const headerCapacity = 256
 
 // FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(c Content) Fingerprint {
-	head := make([]byte, 0, usualHead)
+	header := make([]byte, 0, headerCapacity)
 	for _, part := range [...]string{c.Method, c.Host, c.Target, c.Account, c.Authorization} {
-		// With its length, no part can be taken for the end of the one before.
-		head = binary.BigEndian.AppendUint32(head, uint32(len(part)))
-		head = append(head, part...)
+		// The length prefix makes the boundaries between parts unambiguous.
+		header = binary.BigEndian.AppendUint32(header, uint32(len(part)))
+		header = append(header, part...)
 	}
 	body := sha256.Sum256(c.Body)
-	whole := sha256.Sum256(append(head, body[:]...))
-	return Fingerprint(whole[:len(Fingerprint{})])
+	sum := sha256.Sum256(append(header, body[:]...))
+	return Fingerprint(sum[:len(Fingerprint{})])
 }
 
 // String implements fmt.Stringer.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-var errFingerprint = errors.New("quarantine: no fingerprint")
+var errInvalidFingerprint = errors.New("quarantine: invalid fingerprint")
 
-// parseFingerprint reads what String wrote.
+// parseFingerprint parses the result of String.
 func parseFingerprint(text string) (f Fingerprint, err error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(f) {
-		return f, errors.Wrap(errFingerprint, text)
+		return f, errors.Wrap(errInvalidFingerprint, text)
 	}
 	return Fingerprint(raw), nil
 }
--- a/edge/quarantine/record.go
+++ b/edge/quarantine/record.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// ownWriteAfter is how long after the last end a record is written by a VM that saw one of
-	// the targets end: other VMs may still tell that the request was answered.
-	ownWriteAfter = 500 * time.Millisecond
-	// unseenWriteAfter is how long after it a record is written by a VM that saw none of the
-	// targets end: those that did write it before, but may be gone.
-	unseenWriteAfter = 3 * time.Second
-	// retryWriteAfter is the pause between two calls to the store about one request.
-	retryWriteAfter = time.Second
-	// recordFor is how long a record stays that nobody changes. Requests that come again change
-	// theirs with each trial.
-	recordFor = time.Hour
+	// localWriteDelay is the time from the last crash until a VM that observed one of the crashes
+	// writes the record: other VMs may still report that the request was answered.
+	localWriteDelay = 500 * time.Millisecond
+	// fallbackWriteDelay is the same for the leader, which writes if the VMs that observed the
+	// crashes did not: they may have failed.
+	fallbackWriteDelay = 3 * time.Second
+	// writeRetryDelay is the pause between two writes for one request.
+	writeRetryDelay = time.Second
+	// recordTTL is how long a quarantine record that does not change is kept. Each trial of a
+	// request that is still sent changes its record.
+	recordTTL = time.Hour
 )
 
-// Record is what the store keeps of a request that is suspected or quarantined, so that VMs know
-// of it that start later, were cut off, or do not hear each other. Records outlast outages of the
-// store: no lease ends them.
+// Record is the stored state of a suspected or quarantined request. It informs VMs that start
+// later, were isolated or do not receive each other's reports. Records have no lease, so that they
+// survive an outage of the store.
 type Record struct {
-	// Targets are the starts of targets that ended, Trials is how often the request was sent
-	// since there are enough of them.
+	// Targets identify the target incarnations that crashed. Trials is the number of trials since
+	// the request was quarantined.
 	Targets []uint64 `json:"targets"`
 	Trials  int      `json:"trials"`
-	// VM wrote the record.
+	// VM is the VM that wrote the record.
 	VM string `json:"vm"`
 }
 
-// SetRecord takes in a record at a revision of the store. It reports whether the request is
-// quarantined by it.
+// SetRecord applies a record read from the store. It reports whether the record quarantines the
+// request.
 func (t *Table) SetRecord(now time.Time, f Fingerprint, r Record, at store.Revision) (quarantined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f]
 	if s == nil {
-		if s = t.add(f); s == nil {
+		if s = t.addSuspect(f); s == nil {
 			return false
 		}
-		s.heard = now
+		s.updatedAt = now
 	}
 	if at <= s.revision {
 		return false
 	}
-	s.revision, s.recorded, s.inRecord = at, now, min(len(r.Targets), quarantineAfter)
+	s.revision, s.recordedAt, s.recordedTargets = at, now, min(len(r.Targets), quarantineThreshold)
 	if s.removing {
 		return false
 	}
 	before := s.isQuarantined()
 	for _, target := range r.Targets {
-		s.add(now, target)
+		s.addCrash(now, target)
 	}
 	if r.Trials > s.trials {
-		s.since, s.trials = now, r.Trials
+		s.quarantinedAt, s.trials = now, r.Trials
 	}
 	return !before && s.isQuarantined()
 }
 
-// RemoveRecord takes in that a record is gone: the request was answered, or it did not come
-// again. It reports whether that is news.
+// RemoveRecord applies the removal of a record: the request was answered, or its record expired. It
+// reports whether that clears the request.
 func (t *Table) RemoveRecord(f Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,44 +72,44 @@
 		return false
 	}
 	if s.removing && len(s.targets) > 0 {
-		// Targets have ended since it was answered.
-		s.revision, s.inRecord, s.removing = 0, 0, false
+		// Targets crashed after the request was answered.
+		s.revision, s.recordedTargets, s.removing = 0, 0, false
 		return false
 	}
 	t.remove(f)
 	return !s.removing
 }
 
-// StoreWrite is a call to the store that is due.
+// StoreWrite is a write to the store that is due.
 type StoreWrite struct {
 	Request Fingerprint
 	Record  Record
-	// Remove tells that the record is to be removed, at the Revision given.
+	// Remove is true if the record at Revision is to be removed.
 	Remove   bool
 	Revision store.Revision
 }
 
-// DueWrites returns the calls to the store that this VM has to make now. Each is under way until
-// Written is called. first tells that this VM makes those that no other one did.
-func (t *Table) DueWrites(now time.Time, first bool) []StoreWrite {
+// DueWrites returns the writes to the store that this VM has to make now. Each is in progress until
+// WriteDone is called. leader is true if this VM makes writes that no other VM made.
+func (t *Table) DueWrites(now time.Time, leader bool) []StoreWrite {
 	if t.IsEmpty() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var due []StoreWrite
-	room := maxRecords - t.records()
+	capacity := maxRecords - t.recordCount()
 	for f, s := range t.suspects {
-		if s.writing || now.Before(s.writeAfter) {
+		if s.writing || now.Before(s.nextWrite) {
 			continue
 		}
 		w := StoreWrite{Request: f, Record: Record{Targets: slices.Clone(s.targets), Trials: s.trials}, Revision: s.revision}
 		switch {
-		case s.removesAt(now, first):
+		case s.needsRemoval(now, leader):
 			w.Remove = true
-		case s.writesAt(now, first) && (s.revision != 0 || room > 0):
+		case s.needsWrite(now, leader) && (s.revision != 0 || capacity > 0):
 			s.removing = false
-			room--
+			capacity--
 		default:
 			continue
 		}
@@ -119,32 +119,31 @@
 	return due
 }
 
-// writesAt reports whether this VM has to write the record of a request: the store lacks targets
-// that this VM knows of.
-func (s *suspect) writesAt(now time.Time, first bool) bool {
-	if len(s.targets) < suspectAfter || len(s.targets) <= s.inRecord || s.revision != 0 && s.removing {
+// needsWrite reports whether this VM has to write the record: it lacks targets known to this VM.
+func (s *suspect) needsWrite(now time.Time, leader bool) bool {
+	if len(s.targets) < suspectThreshold || len(s.targets) <= s.recordedTargets || s.revision != 0 && s.removing {
 		return false
 	}
-	known := now.Sub(s.heard)
-	return s.own && known >= ownWriteAfter || first && known >= unseenWriteAfter
+	age := now.Sub(s.updatedAt)
+	return s.local && age >= localWriteDelay || leader && age >= fallbackWriteDelay
 }
 
-// removesAt reports whether this VM has to remove the record of a request.
-func (s *suspect) removesAt(now time.Time, first bool) bool {
-	age := now.Sub(s.recorded)
+// needsRemoval reports whether this VM has to remove the record.
+func (s *suspect) needsRemoval(now time.Time, leader bool) bool {
+	age := now.Sub(s.recordedAt)
 	switch {
 	case s.revision == 0:
 		return false
 	case s.removing:
-		return s.own || first && now.Sub(s.heard) >= unseenWriteAfter
+		return s.local || leader && now.Sub(s.updatedAt) >= fallbackWriteDelay
 	case s.isQuarantined():
-		return first && age > recordFor
+		return leader && age > recordTTL
 	}
-	return first && age > evidenceFor
+	return leader && age > evidenceTTL
 }
 
-// records counts the records in the store. It is called with the lock held.
-func (t *Table) records() int {
+// recordCount returns the number of records in the store. It must be called with the lock held.
+func (t *Table) recordCount() int {
 	n := 0
 	for _, s := range t.suspects {
 		if s.isRecorded() {
@@ -154,18 +153,18 @@
 	return n
 }
 
-// WriteDone ends a call that Due returned. What it wrote is taken in as all VMs do, by SetRecord
-// and RemoveRecord; a call that failed is due again later.
+// WriteDone completes a write returned by DueWrites. Its effect is applied by SetRecord and
+// RemoveRecord, as at all VMs; a failed write becomes due again after writeRetryDelay.
 func (t *Table) WriteDone(now time.Time, f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.suspects[f]; s != nil {
-		s.writing, s.writeAfter = false, now.Add(retryWriteAfter)
+		s.writing, s.nextWrite = false, now.Add(writeRetryDelay)
 	}
 }
 
 // ClaimTrial returns the record that claims a trial, and the revision that it replaces. It returns
-// false if no trial is due or another claim of this VM is under way.
+// false if no trial is due or this VM attempted a claim within trialRetryDelay.
 func (t *Table) ClaimTrial(now time.Time, f Fingerprint) (Record, store.Revision, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -173,9 +172,9 @@
 	if s == nil || !s.isQuarantined() {
 		return Record{}, 0, false
 	}
-	if status, _ := s.quarantine(now); status != TrialDue {
+	if status, _ := s.trialStatus(now); status != TrialDue {
 		return Record{}, 0, false
 	}
-	s.claimAfter = now.Add(retryTrialAfter)
+	s.nextClaim = now.Add(trialRetryDelay)
 	return Record{Targets: slices.Clone(s.targets), Trials: s.trials + 1}, s.revision, true
 }
--- a/edge/quarantine/replay_test.go
+++ b/edge/quarantine/replay_test.go
@@ -151,7 +151,7 @@
 	if !v.cut {
 		v.table.Expire(f.now)
 		for _, w := range v.table.DueWrites(f.now, v.listens) {
-			v.perform(context.Background(), w)
+			v.executeWrite(context.Background(), w)
 			v.table.WriteDone(f.now, w.Request)
 		}
 	}
@@ -293,10 +293,10 @@
 		return
 	}
 	s.ends++
-	if s.ends == quarantineAfter {
+	if s.ends == quarantineThreshold {
 		s.thirdEnd = now
 	}
-	if s.ends > quarantineAfter && now.After(s.thirdEnd.Add(inTouch)) {
+	if s.ends > quarantineThreshold && now.After(s.thirdEnd.Add(inTouch)) {
 		s.laterEnds++
 	}
 	v.TargetCrashed(now, s.f, target)
--- a/edge/quarantine/table.go
+++ b/edge/quarantine/table.go
@@ -10,94 +10,90 @@
 )
 
 const (
-	// suspectAfter is how many targets have ended under a request from which on it is sent to
-	// one target only for each time that a caller asks.
-	suspectAfter = 2
-	// quarantineAfter is how many from which on it is sent to none.
-	quarantineAfter = 3
-	// evidenceFor is how long an end counts against a request that does not come again.
-	evidenceFor = 10 * time.Minute
-	// firstTrialAfter is how long after its quarantine a request is sent once more: by then
-	// targets that ended for other reasons are back, and so are those that it shared with a
-	// request that did end them. trialEvery is the time between later trials.
-	firstTrialAfter = 30 * time.Second
-	trialEvery      = 10 * time.Minute
-	// retryTrialAfter is how long this VM waits after a trial that it could not claim.
-	retryTrialAfter = 5 * time.Second
-	// maxSuspects bounds the requests of which ends are known, quarantined ones included, and
-	// maxRecords those of them that the store keeps.
+	// suspectThreshold is the number of target crashes from which on a request is not retried.
+	suspectThreshold = 2
+	// quarantineThreshold is the number of target crashes from which on a request is not sent.
+	quarantineThreshold = 3
+	// evidenceTTL is how long the crashes count against a request that does not cause another one.
+	evidenceTTL = 10 * time.Minute
+	// firstTrialDelay is the time from the quarantine of a request to its first trial. By then,
+	// targets that crashed for other reasons have restarted. trialInterval is the time between
+	// later trials.
+	firstTrialDelay = 30 * time.Second
+	trialInterval   = 10 * time.Minute
+	// trialRetryDelay is how long this VM waits after an attempt to claim a trial.
+	trialRetryDelay = 5 * time.Second
+	// maxSuspects limits the tracked requests, including quarantined ones, and maxRecords those
+	// with a record in the store.
 	maxSuspects = 4096
 	maxRecords  = 1024
 )
 
-// Status is what a request may do.
+// Status determines how a request may be sent.
 type Status int
 
 // States of requests.
 const (
-	// Clear requests are sent as usual.
+	// Clear requests are sent normally.
 	Clear Status = iota
-	// Suspected requests are sent to one target and not repeated.
+	// Suspected requests are sent to one target and not retried.
 	Suspected
 	// Quarantined requests are not sent.
 	Quarantined
-	// TrialDue requests are quarantined, and may be sent once by the VM that claims the trial.
+	// TrialDue requests are quarantined, but a VM that claims the trial may send them once.
 	TrialDue
 )
 
 // Verdict is the decision on a request.
 type Verdict struct {
 	Status Status
-	// Targets is how many targets ended under the request, as far as this VM knows.
+	// Targets is the number of targets that crashed while processing the request, as far as this
+	// VM knows.
 	Targets int
-	// Age is how long ago the last of them was learnt of.
+	// Age is the time since this VM learned of the last crash.
 	Age time.Duration
-	// RetryAfter is when a quarantined request may be sent again.
+	// RetryAfter is the time until a quarantined request may be sent again.
 	RetryAfter time.Duration
 }
 
-// suspect is what is known of one request.
+// suspect is the state of one tracked request.
 type suspect struct {
-	// targets are the starts of targets that ended under it, quarantineAfter at most.
+	// targets identify the target incarnations that crashed, at most quarantineThreshold.
 	targets []uint64
-	// own tells that this VM saw one of them end, or saw a target answer while the record is to
-	// be removed.
-	own bool
-	// heard is when the last end, or the answer, was learnt of.
-	heard time.Time
-	// since is when it was quarantined, or when a trial was last noticed; zero while it is not
-	// quarantined.
-	since  time.Time
-	trials int
-	// claimAfter is when this VM may next try to claim a trial.
-	claimAfter time.Time
-	// revision is that of its record in the store, 0 while none is known; recorded is when it was
-	// learnt, and inRecord how many of the targets it has.
-	revision store.Revision
-	recorded time.Time
-	inRecord int
-	// removing tells that the record is of no use any more: a target has answered.
+	// local is true if this VM observed one of the crashes, or observed an answer while a record
+	// had to be removed.
+	local bool
+	// updatedAt is when this VM learned of the last crash or answer.
+	updatedAt time.Time
+	// quarantinedAt is when the request was quarantined or its last trial was recorded, zero if it
+	// is not quarantined.
+	quarantinedAt time.Time
+	trials        int
+	// nextClaim is the earliest time of this VM's next attempt to claim a trial.
+	nextClaim time.Time
+	// revision is the revision of the record in the store, 0 if none is known. recordedAt is when
+	// this VM received it, and recordedTargets the number of targets in it.
+	revision        store.Revision
+	recordedAt      time.Time
+	recordedTargets int
+	// removing is true if the record is obsolete, as a target answered the request.
 	removing bool
-	// writing is true while a call to the store about it is under way, and writeAfter when the
-	// next one may be made.
-	writing    bool
-	writeAfter time.Time
+	// writing is true while a write to the store is in progress, and nextWrite is the earliest time
+	// of the next one.
+	writing   bool
+	nextWrite time.Time
 }
 
-func (s *suspect) isQuarantined() bool { return !s.since.IsZero() }
+func (s *suspect) isQuarantined() bool { return !s.quarantinedAt.IsZero() }
 
-// isRecorded reports whether the store has a record of it, or may have one soon.
+// isRecorded reports whether the store has a record or a write is in progress.
 func (s *suspect) isRecorded() bool { return s.revision != 0 || s.writing }
 
-// Table decides which requests are kept from targets. It makes no calls, and is safe for use by
-// several goroutines.
-//
-// Load pattern: a request ends each target that begins to run it, and comes again at any VM.
-// With each VM's own view it ends as many targets for each VM as for one. Ends are therefore
-// counted by what all VMs saw. A request that a target answers is cleared: it shared its
-// targets with the one that ended them, or they ended for other reasons.
+// Table tracks crashes and answers by request, as observed by all VMs, and decides which requests
+// are suspected or quarantined. A request that a target answers is cleared: another request, or
+// something else, caused the crashes. Table does no I/O and is safe for concurrent use.
 type Table struct {
-	// size is the number of suspects: requests are looked up only while there is one.
+	// size is the number of suspects, so that lookups in an empty table need no lock.
 	size atomic.Int32
 
 	mu       sync.Mutex
@@ -107,10 +103,10 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{suspects: make(map[Fingerprint]*suspect)} }
 
-// IsEmpty reports whether every request is clear, without waiting for a lock.
+// IsEmpty reports whether every request is clear, without taking a lock.
 func (t *Table) IsEmpty() bool { return t.size.Load() == 0 }
 
-// Verdict decides on a request.
+// Verdict returns the decision on a request.
 func (t *Table) Verdict(now time.Time, f Fingerprint) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,66 +114,66 @@
 	if s == nil {
 		return Verdict{}
 	}
-	v := Verdict{Targets: len(s.targets), Age: now.Sub(s.heard)}
+	v := Verdict{Targets: len(s.targets), Age: now.Sub(s.updatedAt)}
 	switch {
 	case s.isQuarantined():
-		v.Status, v.RetryAfter = s.quarantine(now)
-	case len(s.targets) >= suspectAfter:
+		v.Status, v.RetryAfter = s.trialStatus(now)
+	case len(s.targets) >= suspectThreshold:
 		v.Status = Suspected
 	}
 	return v
 }
 
-// quarantine tells whether a trial is due, and when it will be.
-func (s *suspect) quarantine(now time.Time) (Status, time.Duration) {
-	due := s.trialAt()
+// trialStatus returns whether a trial is due, and the time until the request may be sent again.
+func (s *suspect) trialStatus(now time.Time) (Status, time.Duration) {
+	due := s.nextTrial()
 	if s.revision != 0 && !now.Before(due) {
-		return TrialDue, retryTrialAfter
+		return TrialDue, trialRetryDelay
 	}
-	return Quarantined, max(due.Sub(now), retryTrialAfter)
+	return Quarantined, max(due.Sub(now), trialRetryDelay)
 }
 
-func (s *suspect) trialAt() time.Time {
-	at := s.since.Add(firstTrialAfter)
+func (s *suspect) nextTrial() time.Time {
+	at := s.quarantinedAt.Add(firstTrialDelay)
 	if s.trials > 0 {
-		at = s.since.Add(trialEvery)
+		at = s.quarantinedAt.Add(trialInterval)
 	}
-	if at.Before(s.claimAfter) {
-		return s.claimAfter
+	if at.Before(s.nextClaim) {
+		return s.nextClaim
 	}
 	return at
 }
 
-// TargetCrashed takes in that a target ended while a request ran there; own tells that this VM saw it.
-// It reports whether that is news.
-func (t *Table) TargetCrashed(now time.Time, f Fingerprint, target uint64, own bool) (news bool) {
+// TargetCrashed records that a target crashed while processing a request; local is true if this VM
+// observed it. It reports whether the crash was not known yet.
+func (t *Table) TargetCrashed(now time.Time, f Fingerprint, target uint64, local bool) (isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f]
 	if s == nil {
-		if s = t.add(f); s == nil {
+		if s = t.addSuspect(f); s == nil {
 			return false
 		}
 	}
-	s.own = s.own || own
-	return s.add(now, target)
+	s.local = s.local || local
+	return s.addCrash(now, target)
 }
 
-// add counts the end of a target and reports whether it was not counted before.
-func (s *suspect) add(now time.Time, target uint64) bool {
-	if slices.Contains(s.targets, target) || len(s.targets) >= quarantineAfter {
+// addCrash adds the crash of a target and reports whether it was not known yet.
+func (s *suspect) addCrash(now time.Time, target uint64) bool {
+	if slices.Contains(s.targets, target) || len(s.targets) >= quarantineThreshold {
 		return false
 	}
-	s.targets, s.heard = append(s.targets, target), now
-	if len(s.targets) >= quarantineAfter && !s.isQuarantined() {
-		s.since = now
+	s.targets, s.updatedAt = append(s.targets, target), now
+	if len(s.targets) >= quarantineThreshold && !s.isQuarantined() {
+		s.quarantinedAt = now
 	}
 	return true
 }
 
-// Answered takes in that a target answered a request; own tells that this VM saw it. It reports
-// whether that is news, as the request was suspected.
-func (t *Table) Answered(now time.Time, f Fingerprint, own bool) (news bool) {
+// Answered records that a target answered a request; local is true if this VM observed it. It
+// reports whether the request had been suspected.
+func (t *Table) Answered(now time.Time, f Fingerprint, local bool) (isNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[f]
@@ -188,15 +184,16 @@
 		t.remove(f)
 		return true
 	}
-	s.targets, s.since, s.trials = nil, time.Time{}, 0
-	s.own, s.heard, s.removing = s.own || own, now, true
+	s.targets, s.quarantinedAt, s.trials = nil, time.Time{}, 0
+	s.local, s.updatedAt, s.removing = s.local || local, now, true
 	return true
 }
 
-// add returns a new suspect, nil if there are too many that count for more.
-func (t *Table) add(f Fingerprint) *suspect {
+// addSuspect starts to track a request. It returns nil if the table is full of requests that are
+// quarantined or recorded.
+func (t *Table) addSuspect(f Fingerprint) *suspect {
 	if len(t.suspects) >= maxSuspects {
-		oldest, found := t.oldest()
+		oldest, found := t.oldestUnrecorded()
 		if !found {
 			return nil
 		}
@@ -208,15 +205,16 @@
 	return s
 }
 
-// oldest returns the request that was suspected first of those that are not quarantined.
-func (t *Table) oldest() (oldest Fingerprint, found bool) {
+// oldestUnrecorded returns the request whose last update is oldest, of those that are neither
+// quarantined nor recorded.
+func (t *Table) oldestUnrecorded() (oldest Fingerprint, found bool) {
 	var at time.Time
 	for f, s := range t.suspects {
 		if s.isQuarantined() || s.isRecorded() {
 			continue
 		}
-		if !found || s.heard.Before(at) {
-			oldest, at, found = f, s.heard, true
+		if !found || s.updatedAt.Before(at) {
+			oldest, at, found = f, s.updatedAt, true
 		}
 	}
 	return oldest, found
@@ -227,8 +225,8 @@
 	t.size.Store(int32(len(t.suspects)))
 }
 
-// Expire forgets requests under which no target ended for evidenceFor, also quarantined ones if
-// the store did not take their record: no trial would ever be due.
+// Expire drops requests without a crash for evidenceTTL. That includes quarantined requests without
+// a record, as no trial would ever be due for them.
 func (t *Table) Expire(now time.Time) {
 	if t.IsEmpty() {
 		return
@@ -236,13 +234,13 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for f, s := range t.suspects {
-		if !s.isRecorded() && now.Sub(s.heard) > evidenceFor {
+		if !s.isRecorded() && now.Sub(s.updatedAt) > evidenceTTL {
 			t.remove(f)
 		}
 	}
 }
 
-// Counts returns how many requests are suspected and how many of them are quarantined.
+// Counts returns the number of tracked requests and how many of them are quarantined.
 func (t *Table) Counts() (suspected, quarantined int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/edge/quarantine/table_test.go
+++ b/edge/quarantine/table_test.go
@@ -76,11 +76,11 @@
 func TestLateRecordOfAnAnsweredRequestIsRemoved(t *testing.T) {
 	table, f := NewTable(), requestNamed("f")
 	ended(table, start, f, 1, 2, 3)
-	if due := table.DueWrites(start.Add(ownWriteAfter), false); len(due) != 1 || due[0].Remove {
+	if due := table.DueWrites(start.Add(localWriteDelay), false); len(due) != 1 || due[0].Remove {
 		t.Fatalf("%v is due, want the record", due)
 	}
 	table.Answered(start, f, true)
-	now := start.Add(retryWriteAfter)
+	now := start.Add(writeRetryDelay)
 	table.WriteDone(start, f)
 	if table.SetRecord(now, f, Record{Targets: three}, 7) || status(table, now, f) != Clear {
 		t.Error("quarantined by its own late record")
@@ -101,10 +101,10 @@
 			table.TargetCrashed(start, f, target+1, false)
 		}
 	}
-	if due := saw.DueWrites(start.Add(ownWriteAfter), false); len(due) != 1 {
+	if due := saw.DueWrites(start.Add(localWriteDelay), false); len(due) != 1 {
 		t.Errorf("%v due where targets were seen to end", due)
 	}
-	now := start.Add(unseenWriteAfter)
+	now := start.Add(fallbackWriteDelay)
 	if due := other.DueWrites(now, false); len(due) != 0 {
 		t.Errorf("%v due at a VM that saw nothing", due)
 	}
@@ -114,7 +114,7 @@
 	if !joined.SetRecord(now, f, Record{Targets: three}, 7) || status(joined, now, f) != Quarantined {
 		t.Error("not quarantined by the record")
 	}
-	if v := joined.Verdict(now, f); v.Targets != 3 || v.RetryAfter != firstTrialAfter {
+	if v := joined.Verdict(now, f); v.Targets != 3 || v.RetryAfter != firstTrialDelay {
 		t.Errorf("%+v by the record", v)
 	}
 	if !joined.RemoveRecord(f) || status(joined, now, f) != Clear {
@@ -129,7 +129,7 @@
 	a, b := NewTable(), NewTable()
 	ended(a, start, f, 1, 2)
 	ended(b, start, f, 3)
-	now := start.Add(ownWriteAfter)
+	now := start.Add(localWriteDelay)
 	due := a.DueWrites(now, false)
 	if len(due) != 1 || len(due[0].Record.Targets) != 2 || len(b.DueWrites(now, true)) != 0 {
 		t.Fatalf("%v is due where two targets were seen to end", due)
@@ -137,7 +137,7 @@
 	if !b.SetRecord(now, f, due[0].Record, 7) || status(b, now, f) != Quarantined {
 		t.Error("not quarantined by the record and what the VM saw itself")
 	}
-	due = b.DueWrites(now.Add(ownWriteAfter), false)
+	due = b.DueWrites(now.Add(localWriteDelay), false)
 	if len(due) != 1 || len(due[0].Record.Targets) != 3 || due[0].Revision != 7 {
 		t.Fatalf("%v is due where the record lacks a target", due)
 	}
@@ -156,7 +156,7 @@
 func TestTrialsAreRareAndClaimed(t *testing.T) {
 	table, f := NewTable(), requestNamed("f")
 	ended(table, start, f, 1, 2, 3)
-	now := start.Add(firstTrialAfter)
+	now := start.Add(firstTrialDelay)
 	if status(table, now, f) != Quarantined {
 		t.Error("a trial without a record that the VMs share")
 	}
@@ -172,10 +172,10 @@
 		t.Error("a second claim while the first is under way")
 	}
 	table.SetRecord(now, f, record, 8)
-	if v := table.Verdict(now.Add(trialEvery-1), f); v.Status != Quarantined || v.RetryAfter != retryTrialAfter {
+	if v := table.Verdict(now.Add(trialInterval-1), f); v.Status != Quarantined || v.RetryAfter != trialRetryDelay {
 		t.Errorf("%+v before the second trial", v)
 	}
-	if status(table, now.Add(trialEvery), f) != TrialDue {
+	if status(table, now.Add(trialInterval), f) != TrialDue {
 		t.Error("the second trial is not due at its time")
 	}
 }
@@ -194,7 +194,7 @@
 	if status(table, start, bad) != Quarantined {
 		t.Error("the quarantined request was forgotten for others")
 	}
-	table.Expire(start.Add(2 * evidenceFor))
+	table.Expire(start.Add(2 * evidenceTTL))
 	if !table.IsEmpty() {
 		t.Error("something is kept after all ends are old")
 	}
@@ -208,7 +208,7 @@
 		table.WriteDone(start, requestNamed(fmt.Sprint(i)))
 	}
 	table.WriteDone(start, bad)
-	table.Expire(start.Add(2 * evidenceFor))
+	table.Expire(start.Add(2 * evidenceTTL))
 	if !table.IsEmpty() {
 		t.Error("requests stay quarantined whose records the store never took")
 	}
@@ -218,10 +218,10 @@
 func TestRecordThatNobodyChangesIsRemoved(t *testing.T) {
 	table, f := NewTable(), requestNamed("f")
 	table.SetRecord(start, f, Record{Targets: three}, 7)
-	if due := table.DueWrites(start.Add(recordFor), true); len(due) != 0 {
+	if due := table.DueWrites(start.Add(recordTTL), true); len(due) != 0 {
 		t.Errorf("%v due too early", due)
 	}
-	later := start.Add(recordFor + 1)
+	later := start.Add(recordTTL + 1)
 	if due := table.DueWrites(later, false); len(due) != 0 {
 		t.Errorf("%v due at a VM that is not the first", due)
 	}
