--- a/control/holder/borrow.go
+++ b/control/holder/borrow.go
@@ -13,18 +13,17 @@
 
 var errNoDecider = errors.New("holder: no decider known")
 
-// lendersAsked is how many nodes are asked for a loan at a time.
-const lendersAsked = 3
+// maxLenders is how many nodes are asked for a loan in one attempt.
+const maxLenders = 3
 
-// borrow asks other nodes for a part of their floors when this one has
-// nothing and no decider answers. A loan in use is renewed by repeating its
-// transfer.
+// borrow asks other nodes for part of their floors when this node has no grants and
+// no decider answers. Repeating a transfer renews its loan.
 func (r *Runner) borrow(ctx context.Context, report observe.Report) {
 	if !r.mayBorrow() {
 		return
 	}
 	lenders := r.options.Lenders()
-	for _, lender := range lenders[:min(len(lenders), lendersAsked)] {
+	for _, lender := range lenders[:min(len(lenders), maxLenders)] {
 		if ctx.Err() != nil {
 			return
 		}
@@ -54,7 +53,7 @@
 		Node:     r.options.Ref,
 		Account:  string(r.options.Account),
 		Transfer: r.transfer,
-		Wanted:   wanted(report),
+		Wanted:   wantedGrants(report),
 	}
 	r.mu.Unlock()
 	sentAt := r.options.Clock()
@@ -70,14 +69,14 @@
 	}
 }
 
-// leastLoanRPS is asked for where the node has seen no demand, requests/s.
-const leastLoanRPS = 1
+// minLoanRPS is the rate requested where the node has seen no demand.
+const minLoanRPS = 1
 
-// wanted asks for each place what the node tried to send there.
-func wanted(report observe.Report) []*peerpb.Grant {
+// wantedGrants requests, for each place, the rate that the node tried to send there.
+func wantedGrants(report observe.Report) []*peerpb.Grant {
 	grants := make([]*peerpb.Grant, 0, len(report.Places))
 	for _, p := range report.Places {
-		rps := max(p.SentRPS+p.RefusedRPS, leastLoanRPS)
+		rps := max(p.SentRPS+p.RefusedRPS, minLoanRPS)
 		grants = append(grants, &peerpb.Grant{
 			Service: string(p.Service),
 			Place:   string(p.Place),
@@ -87,8 +86,8 @@
 	return grants
 }
 
-// Lend answers another node. The own floor is lowered in the admission before
-// the answer leaves.
+// Lend answers a loan request. The node's own floor is lowered before the response
+// is sent.
 func (r *Runner) Lend(request *peerpb.LendRequest) *peerpb.LendResponse {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/control/holder/brief.go
+++ b/control/holder/brief.go
@@ -9,90 +9,84 @@
 	"github.com/yuccaroute/yuccaroute/control/internal/names"
 )
 
-// wholeEvery is how often a report tells all measurements though none has changed
-// but by chance.
-//
-// Guard against a decider that goes by other measurements than the node believes:
-// by those that were told by chance, or by a report that was given up and has
-// overtaken a later one. It shows as a plan made for demand that is not there, and
-// lasts for this time at most.
-const wholeEvery = 30 * time.Second
+// fullReportInterval is the longest time between two reports with all measurements.
+// It bounds how long a decider can plan with outdated values after reports were
+// reordered or a measurement was off by noise.
+const fullReportInterval = 30 * time.Second
 
-// brief leaves out of reports what the decider has already: words, and measurements
-// that are the same. Places are the largest part of a report, and mostly change by
-// chance only.
-type brief struct {
-	// epoch is that of the decider that answered the last report with words, 0 for
-	// none. node is the hash of the node in it, flows and places those of their
-	// names in the last report with these names.
-	epoch         uint64
-	node          uint64
-	flows, places uint32
-	// at is when the places were told last, told is that report with the flows of
-	// the last one.
-	at   time.Time
-	told observe.Report
+// requestCompactor omits from reports the names and measurements that the decider
+// already has. Places make up most of a report and mostly differ only by noise.
+type requestCompactor struct {
+	// epoch is that of the decider that answered the last request with the node's
+	// full identity, 0 for none. nodeHash is the hash of that identity; flowNames
+	// and placeNames are the hashes of the names last sent.
+	epoch                 uint64
+	nodeHash              uint64
+	flowNames, placeNames uint32
+	// placesSentAt is when the places were last sent; lastReport holds these places
+	// and the flows of the last report.
+	placesSentAt time.Time
+	lastReport   observe.Report
 }
 
-// shorten leaves out of a request what the decider of the epoch that it
-// acknowledges has. The last request of a node that stops is not repeated, and must
-// not depend on that.
-func (b *brief) shorten(request *peerpb.RenewRequest, report observe.Report, now time.Time) {
-	if b.epoch == 0 || b.epoch != request.AppliedEpoch || request.Stopped {
+// compact removes what the decider of the acknowledged epoch already has. The final
+// request of a stopping node is not retried, so it is always sent in full.
+func (c *requestCompactor) compact(request *peerpb.RenewRequest, report observe.Report, now time.Time) {
+	if c.epoch == 0 || c.epoch != request.AppliedEpoch || request.Stopped {
 		return
 	}
-	request.NodeKey, request.Node = b.node, nil
-	recent := now.Sub(b.at) < wholeEvery
-	b.shortenFlows(request, report, recent)
-	b.shortenPlaces(request, report, recent)
+	request.NodeKey, request.Node = c.nodeHash, nil
+	recent := now.Sub(c.placesSentAt) < fullReportInterval
+	c.compactFlows(request, report, recent)
+	c.compactPlaces(request, report, recent)
 }
 
-func (b *brief) shortenFlows(request *peerpb.RenewRequest, report observe.Report, recent bool) {
+func (c *requestCompactor) compactFlows(request *peerpb.RenewRequest, report observe.Report, recent bool) {
 	switch {
-	case recent && slices.Equal(b.told.Flows, report.Flows):
+	case recent && slices.Equal(c.lastReport.Flows, report.Flows):
 		request.Flows = nil
 		request.FlowsSame = true
-	case names.Flows(report.Flows) == b.flows:
-		request.FlowNames = b.flows
+	case names.Flows(report.Flows) == c.flowNames:
+		request.FlowNames = c.flowNames
 		for _, f := range request.Flows {
 			f.Service, f.Caller = "", ""
 		}
 	}
 }
 
-func (b *brief) shortenPlaces(request *peerpb.RenewRequest, report observe.Report, recent bool) {
+func (c *requestCompactor) compactPlaces(request *peerpb.RenewRequest, report observe.Report, recent bool) {
 	switch {
-	case recent && samePlaces(b.told, report):
+	case recent && samePlaces(c.lastReport, report):
 		request.Places = nil
 		request.PlacesSame = true
-	case names.Places(report.Places) == b.places:
-		request.PlaceNames = b.places
+	case names.Places(report.Places) == c.placeNames:
+		request.PlaceNames = c.placeNames
 		for _, p := range request.Places {
 			p.Service, p.Place = "", ""
 		}
 	}
 }
 
-// answered notes that a decider has taken a request, made at now.
-func (b *brief) answered(request *peerpb.RenewRequest, report observe.Report, response *peerpb.RenewResponse, now time.Time) {
+// recordAnswer records that a decider accepted a request sent at now.
+func (c *requestCompactor) recordAnswer(request *peerpb.RenewRequest, report observe.Report, response *peerpb.RenewResponse, now time.Time) {
 	if response.ReportNames {
-		*b = brief{}
+		*c = requestCompactor{}
 		return
 	}
 	if request.NodeKey == 0 {
-		b.epoch = response.Epoch
-		b.node = names.Node(request.Node)
+		c.epoch = response.Epoch
+		c.nodeHash = names.Node(request.Node)
 	}
-	b.told.Flows = report.Flows
+	c.lastReport.Flows = report.Flows
 	if !request.FlowsSame && request.FlowNames == 0 {
-		b.flows = names.Flows(report.Flows)
+		c.flowNames = names.Flows(report.Flows)
 	}
 	if request.PlacesSame {
 		return
 	}
-	b.told.Places, b.told.Interval = report.Places, report.Interval
-	b.at = now
+	c.lastReport.Places, c.lastReport.Interval = report.Places, report.Interval
+	c.placesSentAt = now
 	if request.PlaceNames == 0 {
-		b.places = names.Places(report.Places)
+		c.placeNames = names.Places(report.Places)
 	}
 }
--- a/control/holder/brief_test.go
+++ b/control/holder/brief_test.go
@@ -9,46 +9,46 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// A place begins to refuse, or a decider begins anew. It must hear of all
-// places at once, though nothing was worth a report the second before.
-func TestReportsNamePlacesWhenTheyMatter(t *testing.T) {
-	var b brief
+// Places must be sent again when their load changes, refusals begin, the decider
+// changes or the last full report is old.
+func TestPlacesAreSentWhenTheyChange(t *testing.T) {
+	var compactor requestCompactor
 	report := func(sent, refused float64) observe.Report {
 		return observe.Report{Places: []observe.PlaceLoad{{Service: "desk", Place: "a", SentRPS: sent, RefusedRPS: refused, P99: time.Second}}}
 	}
 	same := func(r observe.Report, epoch uint64, after time.Duration) bool {
 		request := NewRequest(r)
 		request.AppliedEpoch = epoch
-		b.shorten(request, r, start.Add(after))
+		compactor.compact(request, r, start.Add(after))
 		return request.PlacesSame && len(request.Places) == 0
 	}
 	first := report(100, 0)
 	if same(first, 1, 0) {
-		t.Error("the first report names no places")
+		t.Error("the first report omits places")
 	}
-	b.answered(&peerpb.RenewRequest{}, first, &peerpb.RenewResponse{Epoch: 1}, start)
+	compactor.recordAnswer(&peerpb.RenewRequest{}, first, &peerpb.RenewResponse{Epoch: 1}, start)
 	for name, c := range map[string]struct {
 		report observe.Report
 		epoch  uint64
 		after  time.Duration
 		want   bool
 	}{
-		"chance":      {report(110, 0), 1, time.Second, true},
+		"noise":       {report(110, 0), 1, time.Second, true},
 		"surge":       {report(200, 0), 1, time.Second, false},
 		"refusal":     {report(100, 1), 1, time.Second, false},
 		"new decider": {report(100, 0), 2, time.Second, false},
-		"long ago":    {report(100, 0), 1, wholeEvery, false},
+		"long ago":    {report(100, 0), 1, fullReportInterval, false},
 	} {
 		if got := same(c.report, c.epoch, c.after); got != c.want {
-			t.Errorf("%s: places left out: %v", name, got)
+			t.Errorf("%s: places omitted: %v", name, got)
 		}
 	}
 }
 
-// The loads of places change all the time, their names do not. They are left out
-// once the decider has them, and told again when the places are others.
-func TestReportsNamePlacesOnce(t *testing.T) {
-	var b brief
+// Place names must be sent once to each decider, and again when the list of places
+// changes.
+func TestPlaceNamesAreSentOnce(t *testing.T) {
+	var compactor requestCompactor
 	now := start
 	named := func(epoch uint64, sent float64, places ...model.PlaceName) bool {
 		now = now.Add(time.Second)
@@ -58,8 +58,8 @@
 		}
 		request := NewRequest(r)
 		request.AppliedEpoch = epoch
-		b.shorten(request, r, now)
-		b.answered(request, r, &peerpb.RenewResponse{Epoch: epoch}, now)
+		compactor.compact(request, r, now)
+		compactor.recordAnswer(request, r, &peerpb.RenewResponse{Epoch: epoch}, now)
 		if len(request.Places) != len(places) || request.Places[0].SentRps != float32(sent) {
 			t.Fatalf("request %v", request)
 		}
--- a/control/holder/chance.go
+++ b/control/holder/chance.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// sameDeviations is how many standard deviations what was measured may be
-	// from what was told and still be taken for the same by chance.
-	sameDeviations = 4
-	// sameLatency is by what part a latency may differ without being news, and
-	// sameFailures by how much a share of failures may.
-	sameLatency  = 0.2
-	sameFailures = 0.01
-	// medianDeviation and tailDeviation are the standard deviations of the P50
-	// and the P99 of one request, as parts of them, for exponential times: those of
-	// n requests are smaller by the root of n.
-	medianDeviation = 1.44
-	tailDeviation   = 2.2
+	// maxDeviations is how many standard deviations a measurement may differ from
+	// the last report and still count as noise.
+	maxDeviations = 4
+	// latencyTolerance is the relative difference of latencies, and failureTolerance
+	// the absolute difference of failure shares, that is ignored in addition to
+	// noise.
+	latencyTolerance = 0.2
+	failureTolerance = 0.01
+	// p50Deviation and p99Deviation are the relative standard deviations of the P50
+	// and P99 of a single request for exponentially distributed latency. For n
+	// requests they are smaller by a factor of sqrt(n).
+	p50Deviation = 1.44
+	p99Deviation = 2.2
 )
 
-// spans are the times that two measurements were counted over, in seconds. They
-// tell how much of a difference chance makes.
-type spans struct{ told, now float64 }
+// intervals are the lengths in seconds of two measurement periods. They determine
+// the expected noise.
+type intervals struct{ last, current float64 }
 
-func spansOf(told, now observe.Report) spans {
-	return spans{told: secondsOf(told.Interval), now: secondsOf(now.Interval)}
+func intervalsOf(last, current observe.Report) intervals {
+	return intervals{last: secondsOf(last.Interval), current: secondsOf(current.Interval)}
 }
 
-// secondsOf takes an interval that is not stated for a second.
+// secondsOf returns one second for an unset interval.
 func secondsOf(interval time.Duration) float64 {
 	if interval <= 0 {
 		return time.Second.Seconds()
@@ -38,79 +39,80 @@
 	return interval.Seconds()
 }
 
-// rate reports whether two rates, of counts that come independently, differ by
-// chance only.
-func (s spans) rate(told, now float64) bool {
-	counted := max(told*s.told+now*s.now, 1)
-	pooled := counted / (s.told + s.now)
-	return math.Abs(told-now) <= sameDeviations*math.Sqrt(pooled*(1/s.told+1/s.now))
+// sameRate reports whether two rates of independent counts differ only by noise.
+func (s intervals) sameRate(last, current float64) bool {
+	counted := max(last*s.last+current*s.current, 1)
+	pooled := counted / (s.last + s.current)
+	return math.Abs(last-current) <= maxDeviations*math.Sqrt(pooled*(1/s.last+1/s.current))
 }
 
-// latency compares two latencies at two rates; deviation is that of one request.
-// Where one is not known the rates tell whether that is news.
-func (s spans) latency(told, now time.Duration, toldRPS, nowRPS, deviation float64) bool {
-	if told <= 0 || now <= 0 {
+// sameLatency compares two latencies measured at two request rates; deviation is the
+// relative standard deviation of one request. An unknown latency counts as the same,
+// because the rates already show that change.
+func (s intervals) sameLatency(last, current time.Duration, lastRPS, currentRPS, deviation float64) bool {
+	if last <= 0 || current <= 0 {
 		return true
 	}
-	chance := deviation * math.Sqrt(1/max(toldRPS*s.told, 1)+1/max(nowRPS*s.now, 1))
-	return math.Abs(float64(told-now)) <= (sameLatency+sameDeviations*chance)*float64(min(told, now))
+	noise := deviation * math.Sqrt(1/max(lastRPS*s.last, 1)+1/max(currentRPS*s.current, 1))
+	return math.Abs(float64(last-current)) <= (latencyTolerance+maxDeviations*noise)*float64(min(last, current))
 }
 
-// failures compares two shares of failed requests.
-func (s spans) failures(told, now *observe.PlaceLoad) bool {
-	before, after := max(told.SentRPS*s.told, 1), max(now.SentRPS*s.now, 1)
-	pooled := min(max(told.FailureShare*before+now.FailureShare*after, 1)/(before+after), 1)
-	chance := math.Sqrt(pooled * (1 - pooled) * (1/before + 1/after))
-	return math.Abs(told.FailureShare-now.FailureShare) <= sameFailures+sameDeviations*chance
+// sameFailures compares the failure shares of two loads.
+func (s intervals) sameFailures(last, current *observe.PlaceLoad) bool {
+	before, after := max(last.SentRPS*s.last, 1), max(current.SentRPS*s.current, 1)
+	pooled := min(max(last.FailureShare*before+current.FailureShare*after, 1)/(before+after), 1)
+	noise := math.Sqrt(pooled * (1 - pooled) * (1/before + 1/after))
+	return math.Abs(last.FailureShare-current.FailureShare) <= failureTolerance+maxDeviations*noise
 }
 
-// samePlaces reports whether the places of two reports are the same ones, in the
-// same order, and differ by chance only.
-func samePlaces(told, now observe.Report) bool {
-	if len(told.Places) != len(now.Places) {
+// samePlaces reports whether two reports list the same places in the same order,
+// with loads that differ only by noise.
+func samePlaces(last, current observe.Report) bool {
+	if len(last.Places) != len(current.Places) {
 		return false
 	}
-	s := spansOf(told, now)
-	for i := range told.Places {
-		if !s.place(&told.Places[i], &now.Places[i]) {
+	s := intervalsOf(last, current)
+	for i := range last.Places {
+		if !s.samePlace(&last.Places[i], &current.Places[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// place compares the loads of a place. The first refusal and the last are news.
-func (s spans) place(told, now *observe.PlaceLoad) bool {
-	return told.Service == now.Service && told.Place == now.Place &&
-		told.Targets == now.Targets && told.Known == now.Known &&
-		(told.RefusedRPS > 0) == (now.RefusedRPS > 0) &&
-		s.rate(told.SentRPS, now.SentRPS) && s.rate(told.RefusedRPS, now.RefusedRPS) &&
-		s.latency(told.P50, now.P50, told.SentRPS, now.SentRPS, medianDeviation) &&
-		s.latency(told.P99, now.P99, told.SentRPS, now.SentRPS, tailDeviation) &&
-		s.failures(told, now)
+// samePlace compares the loads of one place. The first and the last refusal always
+// count as a change.
+func (s intervals) samePlace(last, current *observe.PlaceLoad) bool {
+	return last.Service == current.Service && last.Place == current.Place &&
+		last.Targets == current.Targets && last.Known == current.Known &&
+		(last.RefusedRPS > 0) == (current.RefusedRPS > 0) &&
+		s.sameRate(last.SentRPS, current.SentRPS) && s.sameRate(last.RefusedRPS, current.RefusedRPS) &&
+		s.sameLatency(last.P50, current.P50, last.SentRPS, current.SentRPS, p50Deviation) &&
+		s.sameLatency(last.P99, current.P99, last.SentRPS, current.SentRPS, p99Deviation) &&
+		s.sameFailures(last, current)
 }
 
-// sameFlows reports whether the demands of two reports differ by chance only. A
-// flow that a report leaves out had no request.
-func sameFlows(told, now observe.Report) bool {
-	s := spansOf(told, now)
-	for i := range now.Flows {
-		f := &now.Flows[i]
-		if !s.rate(offered(told.Flows, f), f.OfferedRPS) {
+// sameFlows reports whether the demand of two reports differs only by noise. Reports
+// omit flows without requests.
+func sameFlows(last, current observe.Report) bool {
+	s := intervalsOf(last, current)
+	for i := range current.Flows {
+		f := &current.Flows[i]
+		if !s.sameRate(offeredRPS(last.Flows, f), f.OfferedRPS) {
 			return false
 		}
 	}
-	for i := range told.Flows {
-		f := &told.Flows[i]
-		if !s.rate(f.OfferedRPS, offered(now.Flows, f)) {
+	for i := range last.Flows {
+		f := &last.Flows[i]
+		if !s.sameRate(f.OfferedRPS, offeredRPS(current.Flows, f)) {
 			return false
 		}
 	}
 	return true
 }
 
-// offered returns the rate of a flow among others, 0 if it is not there.
-func offered(flows []observe.FlowDemand, of *observe.FlowDemand) float64 {
+// offeredRPS returns the rate of a flow in a list, 0 if it is not listed.
+func offeredRPS(flows []observe.FlowDemand, of *observe.FlowDemand) float64 {
 	for i := range flows {
 		if flows[i].Service == of.Service && flows[i].Caller == of.Caller {
 			return flows[i].OfferedRPS
--- a/control/holder/core.go
+++ b/control/holder/core.go
@@ -1,8 +1,8 @@
-// Package holder is a node's side of the grants of one client account: it
-// reports to the decider, applies the sets it is given, keeps its floors
-// through outages, and lends to and borrows from other nodes when no decider
-// is reachable. Core is the pure part, driven by events with the time passed
-// in; Runner does the I/O.
+// Package holder implements the node's side of the grants of one client account. It
+// reports to the decider, applies the grant sets it receives, keeps its floors
+// during outages, and lends to and borrows from other nodes when no decider is
+// reachable. Core is a state machine without I/O that is given the time; Runner does
+// the I/O.
 package holder
 
 import (
@@ -18,54 +18,56 @@
 	Node    grant.NodeID
 	Region  model.RegionName
 	Account model.AccountName
-	// Params are the times of the protocol, the same on all nodes.
+	// Params are the protocol timings; they must be the same on all nodes.
 	Params ledger.Params
-	// RequestTimeout bounds a request to a decider or lender; a later answer
-	// is not taken. It must be shorter than the removal time.
+	// RequestTimeout bounds a request to a decider or lender; later responses are
+	// discarded. It must be shorter than the removal time.
 	RequestTimeout time.Duration
-	// LendShare is the part of its free floor a node lends at most at once.
+	// LendShare is the largest fraction of its free floor that a node lends in one
+	// loan.
 	LendShare float64
 }
 
-// Defaults of Options.
+// Default values for Options.
 const (
 	DefaultRequestTimeout = 3 * time.Second
 	DefaultLendShare      = 0.3
 )
 
-// Core holds the grants of one account on one node. It is not safe for use by
-// several goroutines; the sets it returns are immutable.
+// Core holds the grants of one account on one node. It is not safe for concurrent
+// use; the sets it returns are immutable.
 type Core struct {
 	options Options
 	alive   *grant.Liveness
-	// epoch and sequence name the set applied last, 0 after a pause.
+	// epoch and sequence identify the last applied set, 0 after a pause.
 	epoch, sequence uint64
-	// latestEpoch and latestSequence are those of the newest set ever applied:
-	// the admission refuses a set that looks older than its own, also the
-	// empty one after a pause.
+	// latestEpoch and latestSequence identify the newest set ever applied. They
+	// survive a pause, because the admission rejects a set that is older than its
+	// current one.
 	latestEpoch, latestSequence uint64
-	// seen is the highest epoch heard of.
-	seen uint64
-	// acknowledged is the last set of which nothing older is in force, loans
-	// counted; it lags behind while a lower floor does not cover the loans.
+	// highestEpoch is the highest decider epoch known.
+	highestEpoch uint64
+	// acknowledgedEpoch and acknowledgedSequence identify the last set that accounts
+	// for everything in force, including loans. They lag behind while lowered floors
+	// do not cover the loans.
 	acknowledgedEpoch, acknowledgedSequence uint64
 	grants                                  []grant.Grant
-	// keys are those of the last grants with names, in their order, and keysHash
-	// their hash. unnamed tells that an answer relied on others.
+	// keys are the grant keys last received by name, in order, and keysHash is their
+	// hash. needGrantNames is set after a response relied on other names.
 	keys           []grant.Key
 	keysHash       uint64
-	unnamed        bool
+	needGrantNames bool
 	surplusExpires time.Time
-	// ticked is when the process last ran; voided is when it last dropped
-	// everything after a pause, and answers to earlier requests are void.
-	ticked, voided time.Time
-	lent           []loan
-	borrowed       []loan
-	stopping       bool
-	set            *grant.Set
+	// lastTick is when Tick last ran. voidedAt is when the state was last discarded
+	// after a pause; responses to earlier requests are ignored.
+	lastTick, voidedAt time.Time
+	lent               []loan
+	borrowed           []loan
+	stopping           bool
+	set                *grant.Set
 }
 
-// New returns a holder without grants.
+// New returns a Core without grants.
 func New(options Options) *Core {
 	c := &Core{
 		options: options,
@@ -75,14 +77,14 @@
 	return c
 }
 
-// Set returns what is in force. It is never nil.
+// Set returns the grant set in force. It is never nil.
 func (c *Core) Set() *grant.Set { return c.set }
 
-// Tick notes that the process runs at now and ends what has run out. It must
-// be called at least once a second. changed tells that Set returns another set.
+// Tick records that the process is running at now and expires loans. It must be
+// called at least once a second. changed reports whether Set returns a new set.
 func (c *Core) Tick(now time.Time) (changed bool) {
 	if c.paused(now) {
-		c.void(now)
+		c.discardState(now)
 		changed = true
 	}
 	if c.expireLoans(now) {
@@ -91,35 +93,35 @@
 	if changed {
 		c.rebuild()
 	}
-	c.ticked = now
+	c.lastTick = now
 	c.alive.Touch(now)
 	return changed
 }
 
-// paused reports whether the process was not scheduled for so long that its
-// floors may have been given to others. The wall clock is asked too, because
-// the monotonic clock of a suspended VM may stand still.
+// paused reports whether the process was not scheduled for so long that its floors
+// may have been given to others. It also checks the wall clock, because the
+// monotonic clock may stop while a VM is suspended.
 func (c *Core) paused(now time.Time) bool {
-	if c.ticked.IsZero() || c.options.Params.Faults.KeepFloorsAfterPause {
+	if c.lastTick.IsZero() || c.options.Params.Faults.KeepFloorsAfterPause {
 		return false
 	}
 	limit := c.options.Params.RemovalTime
-	return now.Sub(c.ticked) >= limit || now.Round(0).Sub(c.ticked.Round(0)) >= limit
+	return now.Sub(c.lastTick) >= limit || now.Round(0).Sub(c.lastTick.Round(0)) >= limit
 }
 
-// void drops everything. The node then acknowledges nothing, so that the
-// decider sends a whole set.
-func (c *Core) void(now time.Time) {
+// discardState drops all grants and loans. The node then acknowledges no set, so the
+// decider sends a complete one.
+func (c *Core) discardState(now time.Time) {
 	c.epoch, c.sequence = 0, 0
 	c.acknowledgedEpoch, c.acknowledgedSequence = 0, 0
 	c.grants = nil
 	c.lent = nil
 	c.borrowed = nil
 	c.surplusExpires = time.Time{}
-	c.voided = now
+	c.voidedAt = now
 }
 
-// Stop closes the admission for good. changed is always true the first time.
+// Stop closes the admission permanently. changed is true on the first call.
 func (c *Core) Stop() (changed bool) {
 	if c.stopping {
 		return false
@@ -131,8 +133,8 @@
 	return true
 }
 
-// Stopped reports whether the node has stopped and has no loan out, so that
-// the decider may give all it had to others.
+// Stopped reports whether the node has stopped and none of its floor is lent, so
+// that the decider may reassign its grants.
 func (c *Core) Stopped(now time.Time) bool {
 	c.expireLoans(now)
 	return c.stopping && len(c.lent) == 0
@@ -148,9 +150,9 @@
 	return false
 }
 
-// rebuild makes the set in force: floors less what is lent, the surplus, and
-// what is borrowed. A node borrows only without floor or surplus, so the
-// expiry of the set is that of one or the other.
+// rebuild builds the set in force from the floors minus loans, the surplus, and
+// borrowed grants. A node borrows only when it has neither floor nor surplus, so the
+// set needs a single expiry time.
 func (c *Core) rebuild() {
 	set := &grant.Set{
 		Account:        c.options.Account,
--- a/control/holder/core_test.go
+++ b/control/holder/core_test.go
@@ -46,15 +46,15 @@
 	}
 }
 
-// tickUntil keeps a core running.
+// tickUntil ticks once a second, as a running process does.
 func tickUntil(c *Core, from, to time.Time) {
 	for now := from; !now.After(to); now = now.Add(time.Second) {
 		c.Tick(now)
 	}
 }
 
-// A surplus ends by the time the report was sent, not by the time its answer
-// came: the decider may give it to another node as soon as that has passed.
+// A surplus must expire relative to when the request was sent, because the decider
+// may then reassign it.
 func TestSurplusCountsFromSending(t *testing.T) {
 	c := newCore("a")
 	sent := c.StartRequest(start)
@@ -73,10 +73,8 @@
 	}
 }
 
-// A process is paused past the removal time, and its floors are another
-// node's. When it goes on, its admission may run before any timer. It must
-// permit nothing, take no answer from before the pause, and the empty set must
-// not look older than the one that the admission has.
+// After a pause longer than the removal time a node must permit nothing and ignore
+// earlier responses; the empty set must replace the old one in the admission.
 func TestPauseEndsFloors(t *testing.T) {
 	c := newCore("a")
 	c.HandleResponse(c.StartRequest(start), response(3, 9, 100, 0), start)
@@ -101,7 +99,7 @@
 	}
 }
 
-// A paused decider goes on and answers with an older token.
+// A paused decider that resumes must not override a newer one.
 func TestOlderEpochIsRefused(t *testing.T) {
 	c := newCore("a")
 	c.HandleResponse(c.StartRequest(start), response(5, 1, 100, 0), start)
@@ -114,10 +112,9 @@
 	}
 }
 
-// A lender's own floor is lower before its answer exists, a repeated request
-// takes nothing more, and the floor is whole again when the loan has run out
-// at the borrower.
-func TestLenderLowersFirst(t *testing.T) {
+// A lender must lower its own floor before responding, lend nothing more on a
+// repeated request, and regain its floor after the loan has expired at the borrower.
+func TestLenderLowersOwnFloorFirst(t *testing.T) {
 	c := newCore("a")
 	c.HandleResponse(c.StartRequest(start), response(1, 1, 1000, 0), start)
 	for range 2 {
@@ -130,7 +127,7 @@
 		}
 	}
 	if answer, _ := c.Lend(lendRequest("west"), start); answer.Code != uint32(result.Forbidden) {
-		t.Fatalf("lent over a link: %v", answer)
+		t.Fatalf("lent to another region: %v", answer)
 	}
 	b := newCore("b")
 	if !b.HandleLoan(grant.NodeID{VM: "a"}, start, mustLend(t, c), start.Add(time.Second)) {
@@ -159,10 +156,9 @@
 	return answer
 }
 
-// A decider sends amounts in the order of names that it told another life of the
-// node, or before the configuration changed. Taken for those of the names that the
-// node has, they would push a place past its capacity.
-func TestAmountsNeedTheirNames(t *testing.T) {
+// Amounts for other grant names must be refused, or a place could exceed its
+// capacity.
+func TestAmountsWithUnknownNamesAreRefused(t *testing.T) {
 	c := newCore("a")
 	named := response(1, 1, 100, 0)
 	named.Grants = append(named.Grants, &peerpb.Grant{Service: "desk", Place: "b"})
@@ -195,9 +191,9 @@
 	}
 }
 
-// A decider lowers a floor of which a part is lent. The acknowledgement would
-// free what the borrower still uses, so it waits for the loan to end.
-func TestLoanHoldsBackTheAcknowledgement(t *testing.T) {
+// A lowered floor must not be acknowledged while a loan exceeds it, or the decider
+// would reassign what the borrower still uses.
+func TestLoanDelaysAcknowledgement(t *testing.T) {
 	c := newCore("a")
 	c.HandleResponse(c.StartRequest(start), response(1, 1, 1000, 0), start)
 	mustLend(t, c)
--- a/control/holder/loan.go
+++ b/control/holder/loan.go
@@ -9,9 +9,9 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// loan is a part of the lender's floor that the borrower uses for a time. The
-// lender counts its end from receiving the request, with a margin, and the
-// borrower from sending it.
+// loan is a part of the lender's floor that the borrower uses temporarily. The
+// lender counts its expiry from receiving the request, with a margin; the borrower
+// counts it from sending the request.
 type loan struct {
 	transfer uint64
 	peer     grant.NodeID
@@ -24,9 +24,9 @@
 	amount grant.Amount
 }
 
-// Lend answers a request for a loan received at now. The own floor is lowered
-// before the answer exists: the caller must put Set in force and then send it.
-// A repeated transfer gets the same amounts, as the first answer may be lost.
+// Lend answers a loan request received at now. It lowers the node's own floor first:
+// the caller must put Set in force before sending the response. A repeated transfer
+// gets the same amounts, because the first response may have been lost.
 func (c *Core) Lend(request *peerpb.LendRequest, now time.Time) (response *peerpb.LendResponse, changed bool) {
 	changed = c.expireLoans(now)
 	if code := c.mayLend(request, now); code != result.OK {
@@ -46,9 +46,9 @@
 	return c.lendResponse(l), true
 }
 
-// mayLend refuses a borrower in another region, because its work would enter
-// the place over a link that the lender's floor does not count for, and a
-// loan that the floor in force does not cover.
+// mayLend rejects borrowers in other regions, whose traffic would use an
+// inter-region link that the lender's floor does not account for, and loans that the
+// floor in force does not cover.
 func (c *Core) mayLend(request *peerpb.LendRequest, now time.Time) result.Code {
 	if c.stopping || c.paused(now) || !c.alive.Live(now) {
 		return result.NodeLeaving
@@ -102,14 +102,14 @@
 	return response
 }
 
-// MayBorrow reports whether the node has nothing of its own.
+// MayBorrow reports whether the node has no grants of its own.
 func (c *Core) MayBorrow(now time.Time) bool {
 	return !c.stopping && !c.HasFloor() && !now.Before(c.surplusExpires)
 }
 
-// HandleLoan takes in the answer of a lender to a request sent at sentAt.
+// HandleLoan applies a lender's response to a request sent at sentAt.
 func (c *Core) HandleLoan(lender grant.NodeID, sentAt time.Time, response *peerpb.LendResponse, now time.Time) bool {
-	if response.Code != uint32(result.OK) || !c.MayBorrow(now) || !sentAt.After(c.voided) {
+	if response.Code != uint32(result.OK) || !c.MayBorrow(now) || !sentAt.After(c.voidedAt) {
 		return false
 	}
 	from := sentAt
@@ -132,8 +132,8 @@
 	return true
 }
 
-// replaceBorrowed keeps one loan of each lender: a renewed loan has the same
-// transfer and must not count twice.
+// replaceBorrowed keeps one loan per lender, so that a renewed loan does not count
+// twice.
 func (c *Core) replaceBorrowed(l loan) {
 	for i := range c.borrowed {
 		if c.borrowed[i].peer == l.peer {
@@ -144,7 +144,8 @@
 	c.borrowed = append(c.borrowed, l)
 }
 
-// borrowedGrants sums the loans. They end together, at the earliest end.
+// borrowedGrants sums the borrowed amounts. All of them expire with the first loan
+// that does.
 func (c *Core) borrowedGrants() ([]grant.Grant, time.Time) {
 	var grants []grant.Grant
 	var until time.Time
@@ -169,17 +170,17 @@
 	return append(grants, grant.Grant{Key: a.key, Surplus: a.amount})
 }
 
-// expireLoans ends the loans that have run out and reports whether it did.
+// expireLoans removes expired loans and reports whether there were any.
 func (c *Core) expireLoans(now time.Time) bool {
-	lent := live(&c.lent, now)
-	borrowed := live(&c.borrowed, now)
+	lent := dropExpired(&c.lent, now)
+	borrowed := dropExpired(&c.borrowed, now)
 	if lent && c.epoch != 0 {
 		c.acknowledge()
 	}
 	return lent || borrowed
 }
 
-func live(loans *[]loan, now time.Time) (changed bool) {
+func dropExpired(loans *[]loan, now time.Time) (changed bool) {
 	kept := (*loans)[:0]
 	for _, l := range *loans {
 		if now.Before(l.until) {
--- a/control/holder/report.go
+++ b/control/holder/report.go
@@ -10,51 +10,51 @@
 	"github.com/yuccaroute/yuccaroute/control/internal/names"
 )
 
-// SentRequest is a request under way: what was acknowledged in it and when it left.
+// SentRequest describes a pending request: when it was sent and which set it
+// acknowledged.
 type SentRequest struct {
 	At              time.Time
 	Epoch, Sequence uint64
-	// GrantNames tells that it asks for grants with names.
+	// GrantNames is set if the request asks for grants with names.
 	GrantNames bool
 }
 
-// ObserveEpoch notes that a decider of an epoch has been elected. From then on answers
-// of older ones are refused, also before the new one has been asked.
-func (c *Core) ObserveEpoch(epoch uint64) { c.seen = max(c.seen, epoch) }
+// ObserveEpoch records that a decider with this epoch was elected. Responses with an
+// older epoch are rejected from then on.
+func (c *Core) ObserveEpoch(epoch uint64) { c.highestEpoch = max(c.highestEpoch, epoch) }
 
-// HighestEpoch returns the highest epoch heard of.
-func (c *Core) HighestEpoch() uint64 { return c.seen }
+// HighestEpoch returns the highest decider epoch known.
+func (c *Core) HighestEpoch() uint64 { return c.highestEpoch }
 
-// StartRequest notes that a report is about to be sent at now. The surplus in its
-// answer counts from now: the decider counts from receiving the report, which
-// is later, so it never takes a surplus for ended that the node still uses.
+// StartRequest returns the state to send with a report at now. The surplus in the
+// response counts from now; the decider counts from receipt, which is later, so it
+// never reassigns a surplus that the node still uses.
 func (c *Core) StartRequest(now time.Time) SentRequest {
-	return SentRequest{At: now, Epoch: c.acknowledgedEpoch, Sequence: c.acknowledgedSequence, GrantNames: c.unnamed}
+	return SentRequest{At: now, Epoch: c.acknowledgedEpoch, Sequence: c.acknowledgedSequence, GrantNames: c.needGrantNames}
 }
 
-// Outcome tells what became of an answer.
+// Outcome is the result of handling a response.
 type Outcome uint8
 
-// The outcomes of an answer.
+// Outcomes of a response.
 const (
-	// Applied: the set is in force.
+	// Applied means that the set is in force.
 	Applied Outcome = iota
-	// Refused: the answer was none, or of a decider that does not hold the
-	// lease.
+	// Refused means that the response carries an error code, for example because the
+	// decider does not hold the lease, or that the node is stopping.
 	Refused
-	// Late: the answer came after the request was given up, or after a pause
-	// that voided it.
+	// Late means that the response arrived after the request timed out or after a
+	// pause that invalidated it.
 	Late
-	// Stale: the answer is older than what is in force.
+	// Stale means that the response is older than the set in force.
 	Stale
-	// UnknownGrantNames: the answer relies on names of grants that the node does not have.
-	// The next request asks for them.
+	// UnknownGrantNames means that the response relies on grant names that the node
+	// does not have. The next request asks for them.
 	UnknownGrantNames
 )
 
-// HandleResponse takes in the answer to a request. With Applied, Set returns the new
-// set, and the next request acknowledges it; it must be put in force before
-// that.
+// HandleResponse handles the response to a request. After Applied, the caller must
+// put Set in force before the next request, which acknowledges it.
 func (c *Core) HandleResponse(sent SentRequest, response *peerpb.RenewResponse, now time.Time) Outcome {
 	if response.Code != uint32(result.OK) || c.stopping {
 		return Refused
@@ -68,20 +68,18 @@
 	if response.Unchanged && (sent.Epoch != c.epoch || sent.Sequence != c.sequence) {
 		return Stale
 	}
-	if !c.named(response) {
-		c.unnamed = true
+	if !c.knowsKeys(response) {
+		c.needGrantNames = true
 		return UnknownGrantNames
 	}
 	c.apply(sent, response, now)
 	return Applied
 }
 
-// named reports whether the node has the names that the grants in an answer go by.
-//
-// Guard against a decider that gave out other names before: amounts would be taken
-// for those of other places, and these pushed past their capacity. The hash is of
-// the names themselves, so that it cannot agree with others.
-func (c *Core) named(response *peerpb.RenewResponse) bool {
+// knowsKeys reports whether the node has the names to which the amounts in a
+// response refer. Otherwise amounts could be assigned to the wrong places and exceed
+// their capacity.
+func (c *Core) knowsKeys(response *peerpb.RenewResponse) bool {
 	if response.GrantKeys == 0 {
 		return true
 	}
@@ -89,26 +87,26 @@
 		len(response.Floors) == len(c.keys) && len(response.Surpluses) == len(c.keys)
 }
 
-// late reports whether the answer may rest on a state that is gone: the
-// decider may have removed the node since it sent the answer.
+// late reports whether a response may be outdated: the decider may have removed the
+// node since sending it.
 func (c *Core) late(sent SentRequest, now time.Time) bool {
 	if c.options.Params.Faults.KeepFloorsAfterPause || c.options.Params.Faults.TakeLateAnswers {
 		return false
 	}
-	if now.Sub(sent.At) >= c.options.RequestTimeout || !sent.At.After(c.voided) {
+	if now.Sub(sent.At) >= c.options.RequestTimeout || !sent.At.After(c.voidedAt) {
 		return true
 	}
 	return c.paused(now)
 }
 
-// stale reports whether the answer is not newer than what is in force. A
-// decider that was paused and lost its lease sends an older epoch; the newer
-// one has accounted for this node on the ground that it acknowledged a set.
+// stale reports whether a response is not newer than the set in force. A paused
+// decider that lost its lease sends an older epoch, while its successor already
+// relies on what this node acknowledged.
 func (c *Core) stale(response *peerpb.RenewResponse) bool {
 	if c.options.Params.Faults.NoTokenCheck {
 		return false
 	}
-	if response.Epoch < c.seen {
+	if response.Epoch < c.highestEpoch {
 		return true
 	}
 	return response.Epoch == c.epoch && response.Sequence <= c.sequence
@@ -121,7 +119,7 @@
 	c.epoch = response.Epoch
 	c.sequence = response.Sequence
 	c.latestEpoch, c.latestSequence = c.epoch, c.sequence
-	c.seen = max(c.seen, response.Epoch)
+	c.highestEpoch = max(c.highestEpoch, response.Epoch)
 	from := sent.At
 	if c.options.Params.Faults.ExpiryFromReceipt {
 		from = now
@@ -133,9 +131,9 @@
 	c.rebuild()
 }
 
-// acknowledge marks the set in force as acknowledged if its floors cover the
-// loans. Otherwise the borrowers have more in force than the set says, and the
-// decider must go on counting the larger floor of an earlier set.
+// acknowledge marks the set in force as acknowledged if its floors cover the loans.
+// Otherwise borrowers still use more than the set grants, and the decider must keep
+// counting the larger floor of an earlier set.
 func (c *Core) acknowledge() {
 	if !c.coversLoans() && !c.options.Params.Faults.AcknowledgeLent {
 		return
@@ -144,10 +142,10 @@
 	c.acknowledgedSequence = c.sequence
 }
 
-// grantsOf returns the grants of an answer that are not empty.
+// grantsOf returns the non-empty grants of a response.
 func (c *Core) grantsOf(response *peerpb.RenewResponse) []grant.Grant {
 	if response.GrantKeys == 0 {
-		return c.learn(response.Grants)
+		return c.learnKeys(response.Grants)
 	}
 	grants := make([]grant.Grant, 0, len(c.keys))
 	for i, key := range c.keys {
@@ -156,8 +154,8 @@
 	return grants
 }
 
-// learn takes the names of grants into use.
-func (c *Core) learn(wire []*peerpb.Grant) []grant.Grant {
+// learnKeys stores the keys of named grants and returns the non-empty grants.
+func (c *Core) learnKeys(wire []*peerpb.Grant) []grant.Grant {
 	grants := make([]grant.Grant, 0, len(wire))
 	hash := names.NewHasher()
 	c.keys = make([]grant.Key, 0, len(wire))
@@ -169,7 +167,7 @@
 		grants = appendGrant(grants, key, g.Floor, g.Surplus)
 	}
 	c.keysHash = hash.Sum()
-	c.unnamed = false
+	c.needGrantNames = false
 	return grants
 }
 
--- a/control/holder/rest.go
+++ b/control/holder/rest.go
@@ -8,78 +8,80 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// SteadyReportInterval is the time between two reports of a node at rest. With one report
-// lost it is still below the time after which a decider takes a node for silent,
-// the time to live of a surplus.
+// SteadyReportInterval is the time between two reports of a node whose measurements
+// do not change. Even if one report is lost, the next one arrives before the surplus
+// time to live has passed, after which a decider considers a node silent.
 const SteadyReportInterval = 10 * time.Second
 
-// ReportTracker is what a node has told its decider: it decides what a report may leave
-// out, and whether one is needed. It does no I/O. The zero ReportTracker is that of a node
-// that has told nothing.
+// ReportTracker tracks what the decider already knows from earlier reports. It
+// decides what the next report may omit and whether one is needed. It does no I/O.
+// The zero value is for a node that has not reported yet.
 type ReportTracker struct {
-	brief brief
-	rest  rest
+	compactor requestCompactor
+	steady    steadyState
 }
 
-// OmitKnown leaves out of a request what the decider knows already, and promises
-// the next report if the node may rest by what the set holds for it.
+// OmitKnown removes from a request what the decider already has. If the floors in
+// the set cover the node's traffic, the request also announces the steady report
+// interval.
 func (t *ReportTracker) OmitKnown(request *peerpb.RenewRequest, report observe.Report, set *grant.Set, now time.Time) {
-	t.brief.shorten(request, report, now)
-	if !request.Short && !request.Leaving && !request.Stopped && covered(report, set) {
+	t.compactor.compact(request, report, now)
+	if !request.Short && !request.Leaving && !request.Stopped && floorsCover(report, set) {
 		request.RestMs = uint32(SteadyReportInterval.Milliseconds())
 	}
 }
 
-// RecordAnswer notes that the decider has answered a request made at a time.
+// RecordAnswer records that the decider answered a request sent at the given time.
 func (t *ReportTracker) RecordAnswer(request *peerpb.RenewRequest, report observe.Report, response *peerpb.RenewResponse, at time.Time) {
-	t.brief.answered(request, report, response, at)
+	t.compactor.recordAnswer(request, report, response, at)
 	settled := response.Unchanged && !response.ReportNames && request.RestMs > 0
-	t.rest = rest{epoch: response.Epoch, told: report, settled: settled}
+	t.steady = steadyState{epoch: response.Epoch, lastReport: report, settled: settled}
 }
 
-// Reset notes that a request had no answer that could be used: the next one
-// tells all, with all words.
+// Reset discards the state after a request without a usable answer, so that the next
+// one is sent in full.
 func (t *ReportTracker) Reset() { *t = ReportTracker{} }
 
-// UpToDate reports whether a node with a set in force has nothing to tell. recent is
-// what it measured in the last round, whole since its last report: what changes by
-// much shows in the one, what changes by little in the other.
+// UpToDate reports whether the node has nothing new to report while set is in force.
+// recent is the measurement of the last round, whole the one since the last report:
+// large changes show in the former, small ones in the latter.
 func (t *ReportTracker) UpToDate(recent, whole observe.Report, set *grant.Set) bool {
-	return t.rest.may(set) && t.rest.same(recent) && t.rest.same(whole)
+	return t.steady.allowed(set) && t.steady.unchanged(recent) && t.steady.unchanged(whole)
 }
 
-// rest tells whether a node may report seldom: its last report was answered by
-// the set it had, what it measures differs from what it told by chance only, and
-// it holds floors for what it sends.
+// steadyState decides whether a node may report at the steady interval: its last
+// report changed nothing, its measurements since differ from that report only by
+// noise, and its floors cover its traffic.
 //
-// Guard against a surplus that ends between two reports, for example because the
-// decider was lost just before the second. It shows as requests that wait at a
-// node until the next decider has answered it. A node at rest sends no more to any
-// place than its floor there, which does not end.
-type rest struct {
-	// epoch is that of the last answer, 0 for none, and told what its report told.
-	epoch uint64
-	told  observe.Report
-	// settled tells that the answer changed nothing and that its request had
-	// promised the next one.
+// Floors do not expire, so such a node can go on sending if the decider fails and
+// the surplus expires before its next report.
+type steadyState struct {
+	// epoch is that of the last answer, 0 for none; lastReport is the report that it
+	// answered.
+	epoch      uint64
+	lastReport observe.Report
+	// settled is set if the answer changed nothing and its request announced the
+	// steady interval.
 	settled bool
 }
 
-// may reports whether a node may rest while it has nothing to tell.
-func (r *rest) may(set *grant.Set) bool {
-	return r.settled && r.epoch == set.Epoch && covered(r.told, set)
+// allowed reports whether the node may report at the steady interval while its
+// measurements stay the same.
+func (s *steadyState) allowed(set *grant.Set) bool {
+	return s.settled && s.epoch == set.Epoch && floorsCover(s.lastReport, set)
 }
 
-// same reports whether a measurement tells no more than the last report. The first
-// request after none is news: the decider is to hold a part for its callers.
-func (r *rest) same(measured observe.Report) bool {
-	return r.told.PlanEpoch == measured.PlanEpoch && r.told.PlanSequence == measured.PlanSequence &&
-		(quiet(measured) || !quiet(r.told)) &&
-		sameFlows(r.told, measured) && samePlaces(r.told, measured)
+// unchanged reports whether a measurement matches the last report. The first request
+// after a period without traffic counts as a change, because the decider then has to
+// reserve capacity for its callers.
+func (s *steadyState) unchanged(measured observe.Report) bool {
+	return s.lastReport.PlanEpoch == measured.PlanEpoch && s.lastReport.PlanSequence == measured.PlanSequence &&
+		(noTraffic(measured) || !noTraffic(s.lastReport)) &&
+		sameFlows(s.lastReport, measured) && samePlaces(s.lastReport, measured)
 }
 
-// quiet reports whether nobody called the node.
-func quiet(report observe.Report) bool {
+// noTraffic reports whether a report contains no requests.
+func noTraffic(report observe.Report) bool {
 	for i := range report.Flows {
 		if report.Flows[i].OfferedRPS > 0 {
 			return false
@@ -93,8 +95,9 @@
 	return true
 }
 
-// covered reports whether the node holds floors, and as much of each as it sends.
-func covered(report observe.Report, set *grant.Set) bool {
+// floorsCover reports whether the node holds floors and they cover all traffic it
+// sends.
+func floorsCover(report observe.Report, set *grant.Set) bool {
 	for i := range report.Places {
 		p := &report.Places[i]
 		if p.SentRPS > 0 && p.SentRPS > floorOf(set, p).RPS() {
--- a/control/holder/runner.go
+++ b/control/holder/runner.go
@@ -21,17 +21,18 @@
 type RunnerOptions struct {
 	Options
 	Ref *peerpb.NodeRef
-	// Dial returns a connection to another node; it keeps it for later calls.
+	// Dial returns a connection to another node, which is reused across calls.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// Decider returns where the decider of the account was last seen, and its
-	// epoch.
+	// Decider returns the last known decider of the account and its epoch.
 	Decider func() (ref *peerpb.NodeRef, epoch uint64, ok bool)
-	// Relays are the nodes that may pass reports on, from RelayMinFleet nodes on;
-	// nil means that all reports go directly. Pass hands one to a relay.
+	// Relays returns the nodes that may forward reports; nil means that all reports
+	// go directly to the decider. Relays are used in fleets of at least
+	// RelayMinFleet nodes. SendViaRelay sends a report through one.
 	Relays        func() relay.Members
 	RelayMinFleet int
 	SendViaRelay  func(ctx context.Context, relay *peerpb.NodeRef, request *peerpb.PassRequest) (*peerpb.RenewResponse, error)
-	// Lenders returns the other nodes of the region, in the order to ask.
+	// Lenders returns the other nodes of the region, in the order in which to ask
+	// them.
 	Lenders func() []*peerpb.NodeRef
 	// Apply puts a set in force before it returns.
 	Apply  func(*grant.Set)
@@ -43,51 +44,51 @@
 type Runner struct {
 	options RunnerOptions
 
-	// mu guards the rest. It is held over Apply, so that sets are put in force
-	// in their order, but not over calls to other nodes.
-	mu   sync.Mutex
-	core *Core
-	busy bool
-	// turn counts reports. relayed tells that a relay has the one under way, whose
-	// node was not short.
-	turn    uint64
-	relayed bool
-	due     time.Time
-	// restDue is when a node at rest reports.
-	restDue time.Time
-	// interval is that of regular reports, as the decider said last.
-	interval time.Duration
-	transfer uint64
-	heard    time.Time
-	// renewed is when the last report that was answered was sent.
-	renewed time.Time
-	// route chooses the way of reports, nil for always directly.
-	route *relay.Selector
-	// unanswered is since when no report has been answered, zero while the last
-	// one was.
-	unanswered time.Time
-	// told is what the decider knows; hastened tells that the node is to report
-	// though it has nothing to tell, because its grants are to change.
-	told     ReportTracker
+	// mu guards the fields below. It is held during Apply, so that sets are applied
+	// in order, but not during calls to other nodes.
+	mu        sync.Mutex
+	core      *Core
+	reporting bool
+	// reportNumber counts reports. atRelay is set while a relay holds the current
+	// report and the node is not short of capacity.
+	reportNumber uint64
+	atRelay      bool
+	nextReport   time.Time
+	// nextSteadyReport is when a node without changes reports next.
+	nextSteadyReport time.Time
+	// interval is the regular report interval that the decider last set.
+	interval     time.Duration
+	transfer     uint64
+	lastAnswerAt time.Time
+	// answeredReportSent is when the last answered report was sent.
+	answeredReportSent time.Time
+	// relaySelector is nil if all reports go directly to the decider.
+	relaySelector *relay.Selector
+	// unansweredSince is when the first unanswered report was sent, zero if the last
+	// report was answered.
+	unansweredSince time.Time
+	// tracker tracks what the decider knows. hastened is set if a decider asked for
+	// a report because the node's grants will change.
+	tracker  ReportTracker
 	hastened bool
-	// urgent tells that the next report should not wait at a relay; repeat that one
-	// out of turn is to be made again, because its relay failed.
-	urgent, repeat bool
-	// cancel ends the request made last.
+	// urgent is set if a relay should forward the next report without delay, retry
+	// if an early report must be sent again because its relay failed.
+	urgent, retry bool
+	// cancel cancels the latest request.
 	cancel  context.CancelFunc
 	refused uint64
-	// hint is where the node asked last says that the decider is.
-	hint *peerpb.NodeRef
-	// short tells that requests wait for more than the node has; shortAfter is
-	// before when that is no cause for a report out of turn, and early counts
-	// such reports. tellsShort marks the next request as one: a regular report that
-	// is being made when requests begin to wait tells the mean of a time before.
-	short      bool
-	tellsShort bool
-	shortAfter time.Time
-	early      uint64
-	// random is seeded by the node's identity, so that nodes differ and a test
-	// runs the same each time.
+	// deciderHint is the decider named in the last response that was not applied.
+	deciderHint *peerpb.NodeRef
+	// shortage is set if requests wait for more capacity than the node has. No early
+	// report is sent before nextEarlyReport; earlyReports counts them.
+	// reportShortage marks the next request as an early one: a regular report
+	// prepared when the shortage began describes the time before it.
+	shortage        bool
+	reportShortage  bool
+	nextEarlyReport time.Time
+	earlyReports    uint64
+	// random is seeded with the node's identity, so that nodes differ and tests are
+	// reproducible.
 	random *rand.Rand
 }
 
@@ -101,7 +102,7 @@
 		random:  rand.New(rand.NewPCG(node.Incarnation, xxhash.Sum64String(node.VM))),
 	}
 	if options.Relays != nil {
-		r.route = relay.NewSelector(relay.SelectorOptions{
+		r.relaySelector = relay.NewSelector(relay.SelectorOptions{
 			Account:  options.Account,
 			MinFleet: options.RelayMinFleet,
 			Members:  options.Relays,
@@ -111,7 +112,8 @@
 	return r
 }
 
-// Tick notes that the process runs; call it at least once a second.
+// Tick advances the Core and applies its set if it changed; call it at least once a
+// second.
 func (r *Runner) Tick() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,35 +122,36 @@
 	}
 }
 
-// jitterShare spreads the reports of many nodes over the interval.
+// jitterShare is the fraction of an interval over which the reports of many nodes
+// are spread.
 const jitterShare = 0.1
 
-// Due reports whether a regular report is due, and if so notes it as under way:
-// a node has one request under way at a time. While one out of turn is to come
-// it waits for that: it would tell the mean of a time before the shortage. A
-// node at rest, with nothing to tell, reports seldom, but at once to a new decider,
-// which takes what it hears in its first seconds for the demand. recent is what was
-// measured in the last round, whole since the last report.
+// Due reports whether a regular report is due, and if so marks it as in progress. A
+// pending early report takes precedence, because a regular one would contain
+// averages from before the shortage. A node without changes reports at the steady
+// interval, but at once to a new decider, whose first plan is based on the reports
+// it receives. recent is the measurement of the last round, whole the one since the
+// last report.
 func (r *Runner) Due(recent, whole observe.Report) bool {
 	_, decider, known := r.options.Decider()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
-	if r.busy || r.short || now.Before(r.due) {
+	if r.reporting || r.shortage || now.Before(r.nextReport) {
 		return false
 	}
 	set := r.core.Set()
 	renewed := known && decider > set.Epoch
-	if !r.hastened && !renewed && now.Before(r.restDue) && r.told.UpToDate(recent, whole, set) {
+	if !r.hastened && !renewed && now.Before(r.nextSteadyReport) && r.tracker.UpToDate(recent, whole, set) {
 		return false
 	}
-	r.turn++
-	r.busy = true
+	r.reportNumber++
+	r.reporting = true
 	return true
 }
 
-// Hasten makes the next regular report come at once, for a decider of an epoch
-// that is not older than the last one heard of.
+// Hasten makes the next regular report due at once, unless epoch is older than that
+// of the set in force.
 func (r *Runner) Hasten(epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,57 +160,58 @@
 	}
 }
 
-// SignalShortage notes that requests wait for more than the node has. wake tells that a
-// report out of turn is due for it; DueEarly must be called then.
+// SignalShortage records that requests are waiting for more capacity than the node
+// has. If it returns true, the caller must call DueEarly.
 //
-// Guard against a storm of reports while there is no capacity left: after one
-// out of turn the node waits for the interval of its regular reports before the
-// next, so that no node sends more than twice its regular reports.
+// Early reports are rate limited to one per regular interval, so that a general
+// shortage at most doubles the report rate of a node.
 func (r *Runner) SignalShortage() (wake bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.short || r.options.Clock().Before(r.shortAfter) {
+	if r.shortage || r.options.Clock().Before(r.nextEarlyReport) {
 		return false
 	}
-	r.short = true
+	r.shortage = true
 	return true
 }
 
-// DueEarly reports whether a report out of turn is due, and if so notes it as
-// under way, in place of one that a relay holds. While another is under way the
-// shortage is forgotten: requests that still wait will tell it again.
+// DueEarly reports whether an early report is due, and if so marks it as in
+// progress, cancelling a regular report that a relay holds. If another report is in
+// progress the shortage is dropped; requests that still wait will signal it again.
 func (r *Runner) DueEarly() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.busy && !r.relayed || !r.short {
-		r.short = false
+	if r.reporting && !r.atRelay || !r.shortage {
+		r.shortage = false
 		return false
 	}
-	if r.busy {
+	if r.reporting {
 		r.cancel()
 	}
-	r.relayed = false
-	r.turn++
-	r.busy = true
-	r.tellsShort = true
-	r.early++
+	r.atRelay = false
+	r.reportNumber++
+	r.reporting = true
+	r.reportShortage = true
+	r.earlyReports++
 	return true
 }
 
-// acknowledgeAfter is how long after a lower set was put in force the decider is
-// told, spread by jitter: what was taken may be what another node waits for.
-const acknowledgeAfter = 50 * time.Millisecond
+// acknowledgeWait is the delay, plus jitter, before a node acknowledges a set that
+// lowers its grants. It is short because another node may be waiting for the freed
+// capacity.
+const acknowledgeWait = 50 * time.Millisecond
 
-// Report sends a report and takes in the answer. Call it after Due or DueEarly.
-// An answer that lowers the grants is acknowledged soon, by the same report.
+// Report sends a report and handles the response. Call it after Due or DueEarly
+// returns true. A response that lowers the grants is acknowledged shortly afterwards
+// by sending the report again.
 func (r *Runner) Report(ctx context.Context, report observe.Report, leaving bool) {
-	turn := r.begin()
-	defer r.done(turn)
+	number := r.currentReport()
+	defer r.finishReport(number)
 	lowered, ok := r.exchange(ctx, report, leaving)
-	if !ok && r.again() {
+	if !ok && r.takeRetry() {
 		lowered, ok = r.exchange(ctx, report, leaving)
 	}
-	if r.replaced(turn) {
+	if r.replaced(number) {
 		return
 	}
 	if !ok {
@@ -220,7 +224,7 @@
 	select {
 	case <-ctx.Done():
 	case <-time.After(r.acknowledgeDelay()):
-		r.noteUrgent()
+		r.markUrgent()
 		r.exchange(ctx, report, leaving)
 	}
 }
@@ -228,76 +232,76 @@
 func (r *Runner) acknowledgeDelay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return acknowledgeAfter + time.Duration(r.random.Int64N(int64(acknowledgeAfter)))
+	return acknowledgeWait + time.Duration(r.random.Int64N(int64(acknowledgeWait)))
 }
 
-// exchange sends a report and takes in the answer. ok tells that it was taken,
-// lowered that it permits less than before for a place.
+// exchange sends a report and handles the response. ok reports whether the response
+// was applied, lowered whether it reduces any grant.
 func (r *Runner) exchange(ctx context.Context, report observe.Report, leaving bool) (lowered, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.RequestTimeout)
 	defer cancel()
-	turn := r.setCancel(cancel)
-	request, sent := r.request(report, leaving)
-	way := r.way(request)
-	response, err := r.renew(ctx, way, request)
+	number := r.setCancel(cancel)
+	request, sent := r.newRequest(report, leaving)
+	dest := r.chooseDestination(request)
+	response, err := r.send(ctx, dest, request)
 	if err == nil {
-		lowered, ok = r.answer(sent, response)
+		lowered, ok = r.handleResponse(sent, response)
 	}
-	if !ok && r.replaced(turn) {
+	if !ok && r.replaced(number) {
 		return false, false
 	}
-	r.note(request, report, sent, response, ok)
-	r.noteWay(way, request, sent.At, ok)
+	r.recordOutcome(request, report, sent, response, ok)
+	r.recordDelivery(dest, request, sent.At, ok)
 	return lowered, ok
 }
 
-// note notes what became of a report.
-func (r *Runner) note(request *peerpb.RenewRequest, report observe.Report, sent SentRequest, response *peerpb.RenewResponse, ok bool) {
+// recordOutcome updates the tracker and the steady report time after a report.
+func (r *Runner) recordOutcome(request *peerpb.RenewRequest, report observe.Report, sent SentRequest, response *peerpb.RenewResponse, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !ok {
-		r.told.Reset()
-		if r.unanswered.IsZero() {
-			r.unanswered = sent.At
+		r.tracker.Reset()
+		if r.unansweredSince.IsZero() {
+			r.unansweredSince = sent.At
 		}
 		return
 	}
-	r.unanswered = time.Time{}
-	r.told.RecordAnswer(request, report, response, sent.At)
-	r.restDue = sent.At.Add(r.jitter(max(SteadyReportInterval, r.interval)))
+	r.unansweredSince = time.Time{}
+	r.tracker.RecordAnswer(request, report, response, sent.At)
+	r.nextSteadyReport = sent.At.Add(r.jitter(max(SteadyReportInterval, r.interval)))
 }
 
-func (r *Runner) begin() (turn uint64) {
+func (r *Runner) currentReport() (number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.turn
+	return r.reportNumber
 }
 
-// replaced reports whether another report was made in place of that of a turn.
-func (r *Runner) replaced(turn uint64) bool { return r.begin() != turn }
+// replaced reports whether a newer report has replaced the given one.
+func (r *Runner) replaced(number uint64) bool { return r.currentReport() != number }
 
-func (r *Runner) done(turn uint64) {
+func (r *Runner) finishReport(number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.turn == turn {
-		r.busy, r.relayed = false, false
+	if r.reportNumber == number {
+		r.reporting, r.atRelay = false, false
 	}
 }
 
-func (r *Runner) request(report observe.Report, leaving bool) (*peerpb.RenewRequest, SentRequest) {
+func (r *Runner) newRequest(report observe.Report, leaving bool) (*peerpb.RenewRequest, SentRequest) {
 	_, decider, known := r.options.Decider()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
-	r.due = now.Add(r.jitter(time.Second))
-	short := r.tellsShort
-	r.tellsShort = false
-	r.urgent = r.urgent || r.hastened || short || leaving || r.heard.IsZero()
+	r.nextReport = now.Add(r.jitter(time.Second))
+	short := r.reportShortage
+	r.reportShortage = false
+	r.urgent = r.urgent || r.hastened || short || leaving || r.lastAnswerAt.IsZero()
 	r.hastened = false
 	sent := r.core.StartRequest(now)
 	if known && decider > sent.Epoch {
-		// A new decider has been told nothing.
-		r.told.Reset()
+		// A new decider has no state from earlier reports.
+		r.tracker.Reset()
 	}
 	request := NewRequest(report)
 	request.Node = r.options.Ref
@@ -309,19 +313,19 @@
 	request.Stopped = r.core.Stopped(now)
 	request.Short = short
 	if short {
-		r.short = false
-		r.shortAfter = now.Add(r.jitter(max(r.interval, time.Second)))
+		r.shortage = false
+		r.nextEarlyReport = now.Add(r.jitter(max(r.interval, time.Second)))
 	}
-	r.told.OmitKnown(request, report, r.core.Set(), now)
+	r.tracker.OmitKnown(request, report, r.core.Set(), now)
 	return request, sent
 }
 
-// jitter needs mu.
+// jitter must be called with mu held.
 func (r *Runner) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - jitterShare*r.random.Float64()))
 }
 
-func (r *Runner) answer(sent SentRequest, response *peerpb.RenewResponse) (lowered, ok bool) {
+func (r *Runner) handleResponse(sent SentRequest, response *peerpb.RenewResponse) (lowered, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
@@ -329,20 +333,20 @@
 	outcome := r.core.HandleResponse(sent, response, now)
 	if outcome != Applied {
 		r.refused++
-		r.hint = response.Decider
+		r.deciderHint = response.Decider
 		return false, false
 	}
-	r.heard = now
+	r.lastAnswerAt = now
 	r.transfer = 0
 	r.options.Apply(r.core.Set())
 	if response.NextMs > 0 {
 		r.interval = time.Duration(response.NextMs) * time.Millisecond
-		r.due = sent.At.Add(r.jitter(r.interval))
+		r.nextReport = sent.At.Add(r.jitter(r.interval))
 	}
 	return lowers(before, r.core.Set()), true
 }
 
-// lowers reports whether a set has less of anything than the one before.
+// lowers reports whether any grant in after is smaller than in before.
 func lowers(before, after *grant.Set) bool {
 	for _, b := range before.Grants {
 		i := slices.IndexFunc(after.Grants, func(a grant.Grant) bool { return a.Key == b.Key })
@@ -356,9 +360,8 @@
 	return false
 }
 
-// Stop closes the admission and tells the decider, so that what the node had
-// can be given to others at once. It waits for loans to end as long as ctx
-// lasts.
+// Stop closes the admission and returns the grants to the decider, so that they can
+// be reassigned at once. It waits for loans to end until ctx is done.
 func (r *Runner) Stop(ctx context.Context) {
 	r.mu.Lock()
 	if r.core.Stop() {
@@ -372,8 +375,8 @@
 		case <-time.After(time.Second):
 		}
 	}
-	request, _ := r.request(observe.Report{}, true)
-	if _, err := r.renew(ctx, r.directly(), request); err != nil {
+	request, _ := r.newRequest(observe.Report{}, true)
+	if _, err := r.send(ctx, r.directDestination(), request); err != nil {
 		r.options.Logger.WithError(err).Info("control: could not hand back the grants, they are freed after the removal time")
 	}
 }
@@ -384,29 +387,28 @@
 	return r.core.Stopped(r.options.Clock())
 }
 
-// Status is what operators see of a holder.
+// Status is the state of a holder that is shown to operators.
 type Status struct {
 	Set *grant.Set
-	// Heard is when a decider last answered, zero for never; Unanswered since
-	// when none has, zero while the last report was answered.
+	// Heard is when a decider last answered, zero for never. Unanswered is when the
+	// first unanswered report was sent, zero if the last report was answered.
 	Heard, Unanswered time.Time
-	// Refused counts reports without an answer that was taken.
+	// Refused counts responses that were not applied.
 	Refused uint64
-	// Early counts reports out of turn, made because requests waited for more
-	// than the node had.
+	// Early counts reports sent early because of a capacity shortage.
 	Early          uint64
 	Lent, Borrowed int
 }
 
-// Status returns the present state.
+// Status returns the current state.
 func (r *Runner) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return Status{
 		Set:   r.core.Set(),
-		Heard: r.heard, Unanswered: r.unanswered,
+		Heard: r.lastAnswerAt, Unanswered: r.unansweredSince,
 		Refused:  r.refused,
-		Early:    r.early,
+		Early:    r.earlyReports,
 		Lent:     len(r.core.lent),
 		Borrowed: len(r.core.borrowed),
 	}
--- a/control/holder/way.go
+++ b/control/holder/way.go
@@ -7,128 +7,128 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// way is where a report goes.
-type way struct {
-	// decider is whom it is for, nil for none known, relay the node that passes it
-	// on, nil for none.
+// destination is where a report is sent.
+type destination struct {
+	// decider is the final recipient, nil if unknown; relay is the node that
+	// forwards the report, nil for none.
 	decider, relay *peerpb.NodeRef
-	// timeout bounds the wait for the relay, epoch is the highest heard of.
+	// timeout bounds the wait for the relay; epoch is the highest decider epoch
+	// known.
 	timeout time.Duration
 	epoch   uint64
 	urgent  bool
 }
 
-// way chooses how a request goes to the decider. A decider asks itself directly.
-func (r *Runner) way(request *peerpb.RenewRequest) way {
+// chooseDestination chooses between a relay and the decider. A node that is itself
+// the decider sends its report directly.
+func (r *Runner) chooseDestination(request *peerpb.RenewRequest) destination {
 	decider, epoch, ok := r.options.Decider()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := way{decider: decider, urgent: r.urgent}
+	dest := destination{decider: decider, urgent: r.urgent}
 	r.urgent = false
 	if ok {
 		r.core.ObserveEpoch(epoch)
 	}
-	w.epoch = r.core.HighestEpoch()
-	if r.route != nil && decider != nil && decider.Vm != r.options.Ref.Vm && !request.Stopped {
-		w.relay, w.timeout = r.route.Next(r.options.Clock())
+	dest.epoch = r.core.HighestEpoch()
+	if r.relaySelector != nil && decider != nil && decider.Vm != r.options.Ref.Vm && !request.Stopped {
+		dest.relay, dest.timeout = r.relaySelector.Next(r.options.Clock())
 	}
-	r.relayed = w.relay != nil && !request.Short
-	if w.relay == nil {
-		w.decider = r.takeHint(decider)
+	r.atRelay = dest.relay != nil && !request.Short
+	if dest.relay == nil {
+		dest.decider = r.takeDeciderHint(decider)
 	}
-	return w
+	return dest
 }
 
-// directly is the way without a relay.
-func (r *Runner) directly() way {
+// directDestination returns a destination without a relay.
+func (r *Runner) directDestination() destination {
 	decider, epoch, ok := r.options.Decider()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ok {
 		r.core.ObserveEpoch(epoch)
 	}
-	return way{decider: r.takeHint(decider)}
+	return destination{decider: r.takeDeciderHint(decider)}
 }
 
-// takeHint returns the hint, if there is one, in place of the decider that was heard
-// of. A hint is used once: the node that gave it may be behind. It needs mu.
-func (r *Runner) takeHint(decider *peerpb.NodeRef) *peerpb.NodeRef {
-	if r.hint == nil {
+// takeDeciderHint returns and clears the hint, or returns the given decider if there
+// is none. A hint is used only once, because the node that gave it may be out of
+// date. The caller holds mu.
+func (r *Runner) takeDeciderHint(decider *peerpb.NodeRef) *peerpb.NodeRef {
+	if r.deciderHint == nil {
 		return decider
 	}
-	hint := r.hint
-	r.hint = nil
+	hint := r.deciderHint
+	r.deciderHint = nil
 	return hint
 }
 
-// renew sends a request.
-func (r *Runner) renew(ctx context.Context, w way, request *peerpb.RenewRequest) (*peerpb.RenewResponse, error) {
-	if w.decider == nil {
+func (r *Runner) send(ctx context.Context, dest destination, request *peerpb.RenewRequest) (*peerpb.RenewResponse, error) {
+	if dest.decider == nil {
 		return nil, errNoDecider
 	}
-	if w.relay != nil {
-		ctx, cancel := context.WithTimeout(ctx, w.timeout)
+	if dest.relay != nil {
+		ctx, cancel := context.WithTimeout(ctx, dest.timeout)
 		defer cancel()
-		return r.options.SendViaRelay(ctx, w.relay, &peerpb.PassRequest{Report: request, Urgent: w.urgent, DeciderEpoch: w.epoch})
+		return r.options.SendViaRelay(ctx, dest.relay, &peerpb.PassRequest{Report: request, Urgent: dest.urgent, DeciderEpoch: dest.epoch})
 	}
-	conn, err := r.options.Dial(w.decider.PeerAddress)
+	conn, err := r.options.Dial(dest.decider.PeerAddress)
 	if err != nil {
 		return nil, err
 	}
 	return peerpb.NewControlClient(conn).Renew(ctx, request)
 }
 
-// noteWay notes what became of a report on its way. When a relay failed, the next
-// one goes directly: that of a node that is short at once, others when the route
-// says so.
-//
-// Guard against a relay that is paused, cut off, killed or behind: it shows as
-// reports of one failure domain without an answer, and the nodes would lose their
-// surplus. The guard holds because the node does not need the relay to reach the
-// decider, and asks for itself before its surplus ends.
-func (r *Runner) noteWay(w way, request *peerpb.RenewRequest, sent time.Time, ok bool) {
+// recordDelivery records the result of a report. After a relay failure the next
+// report goes directly to the decider: immediately if the node is short of capacity,
+// otherwise after a delay that the relay selector chooses. Nodes therefore keep
+// their surplus when the relay of their failure domain is down or partitioned.
+func (r *Runner) recordDelivery(dest destination, request *peerpb.RenewRequest, sent time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ok {
-		r.renewed = sent
+		r.answeredReportSent = sent
 	}
-	if r.route == nil {
+	if r.relaySelector == nil {
 		return
 	}
 	if ok {
-		r.route.RecordAnswer()
+		r.relaySelector.RecordAnswer()
 		return
 	}
-	if w.relay == nil {
+	if dest.relay == nil {
 		return
 	}
 	now := r.options.Clock()
-	r.due = now.Add(r.route.RecordFailure(w.relay, r.renewed, now))
+	r.nextReport = now.Add(r.relaySelector.RecordFailure(dest.relay, r.answeredReportSent, now))
 	if request.Short {
-		r.route.ForceDirect(now)
-		r.tellsShort, r.repeat = true, true
+		r.relaySelector.ForceDirect(now)
+		r.reportShortage, r.retry = true, true
 	}
 }
 
-// again reports whether a report is to be made again at once.
-func (r *Runner) again() bool {
+// takeRetry reports whether a report must be sent again at once, and clears the
+// flag.
+func (r *Runner) takeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	again := r.repeat
-	r.repeat = false
-	return again
+	retry := r.retry
+	r.retry = false
+	return retry
 }
 
-// setCancel notes how to end the request about to be made, and returns its turn.
-func (r *Runner) setCancel(cancel context.CancelFunc) (turn uint64) {
+// setCancel stores the cancel function of the request about to be sent and returns
+// the number of its report.
+func (r *Runner) setCancel(cancel context.CancelFunc) (number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cancel = cancel
-	return r.turn
+	return r.reportNumber
 }
 
-// noteUrgent notes that the next report should not wait at a relay.
-func (r *Runner) noteUrgent() {
+// markUrgent makes a relay forward the next report without delay.
+func (r *Runner) markUrgent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.urgent = true
--- a/control/holder/wire.go
+++ b/control/holder/wire.go
@@ -5,7 +5,7 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// NewRequest returns the request that tells a report, with all names.
+// NewRequest encodes a report as a request, with all names spelled out.
 func NewRequest(report observe.Report) *peerpb.RenewRequest {
 	request := &peerpb.RenewRequest{
 		IntervalMs:   uint32(report.Interval.Milliseconds()),
