--- a/edge/entry/crash_test.go
+++ b/edge/entry/crash_test.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	// crashMark in a path ends each target that begins to run the request.
+	// crashMark in a path makes the request crash every target that runs it.
 	crashMark = "crash"
-	// spreadTime is how long after its third target ended a request may still reach targets
-	// because VMs have not heard of it, maxLater how often it may reach them after that.
-	spreadTime = 3 * time.Second
-	maxLater   = 3
-	// downTime is how long a target is away that has ended, crashAfter how long it runs.
-	downTime   = 300 * time.Millisecond
-	crashAfter = 20 * time.Millisecond
+	// propagationTime is how long after its third crash a request may still reach targets,
+	// maxLateArrivals how often it may do so afterwards.
+	propagationTime = 3 * time.Second
+	maxLateArrivals = 3
+	// restartDelay is the time between a target's crash and its restart, crashDelay the
+	// time for which it runs a crashing request.
+	restartDelay = 300 * time.Millisecond
+	crashDelay   = 20 * time.Millisecond
 )
 
-// crashes are targets that end under some requests and come back under new IDs. They are the
-// only ones of their fleet.
-type crashes struct {
+// crashingTargets is a fleet whose targets crash under marked requests and restart with new IDs.
+type crashingTargets struct {
 	*fleet
 	mu sync.Mutex
-	// starts counts the starts of targets.
+	// starts numbers the targets.
 	starts int
-	// arrived is when each request with the mark reached a target, by its content.
-	arrived map[string][]time.Time
-	// thirdEnd is when the third target ended under a request.
-	thirdEnd map[string]time.Time
-	ends     map[string]int
+	// arrivals are the times at which each marked request reached a target, by content.
+	arrivals map[string][]time.Time
+	// thirdCrash is the time of each request's third crash.
+	thirdCrash map[string]time.Time
+	crashes    map[string]int
 }
 
-func newCrashes(f *fleet, targets int) *crashes {
-	c := &crashes{fleet: f, arrived: map[string][]time.Time{}, thirdEnd: map[string]time.Time{}, ends: map[string]int{}}
+func newCrashingTargets(f *fleet, targets int) *crashingTargets {
+	c := &crashingTargets{fleet: f, arrivals: map[string][]time.Time{}, thirdCrash: map[string]time.Time{}, crashes: map[string]int{}}
 	c.remove("target/a")
 	for i := range targets {
 		c.startTarget([]string{"n1", "n2", "s1"}[i%3])
@@ -52,8 +52,8 @@
 	return c
 }
 
-// startTarget runs a target until a request ends it, and starts another one in its place.
-func (c *crashes) startTarget(zone string) {
+// startTarget runs a target until a request crashes it, then starts a replacement.
+func (c *crashingTargets) startTarget(zone string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		c.t.Error(err)
@@ -69,7 +69,7 @@
 	crash := func() {
 		once.Do(func() {
 			end()
-			time.AfterFunc(downTime, func() {
+			time.AfterFunc(restartDelay, func() {
 				if c.t.Context().Err() == nil {
 					c.remove("target/" + id)
 					c.startTarget(zone)
@@ -91,8 +91,8 @@
 	c.put("target/"+id, site.Target{ID: id, Service: "s", Address: l.Addr().String(), Zone: zone, Slots: 4})
 }
 
-// remove takes a target off the store's list, as the end of its lease does.
-func (c *crashes) remove(key string) {
+// remove deletes a target's registration, as the expiry of its lease does.
+func (c *crashingTargets) remove(key string) {
 	e, err := c.kv.Get(context.Background(), key)
 	if err == nil {
 		err = c.kv.Delete(context.Background(), key, e.Revision)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (c *crashes) serve(ctx context.Context, conn net.Conn, crash func()) {
+func (c *crashingTargets) serve(ctx context.Context, conn net.Conn, crash func()) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -122,41 +122,41 @@
 	}
 }
 
-// run ends the target a moment after it has begun a request.
-func (c *crashes) run(ctx context.Context, content string, crash func()) {
+// run crashes the target shortly after it began the request.
+func (c *crashingTargets) run(ctx context.Context, content string, crash func()) {
 	c.mu.Lock()
-	c.arrived[content] = append(c.arrived[content], time.Now())
+	c.arrivals[content] = append(c.arrivals[content], time.Now())
 	c.mu.Unlock()
-	time.Sleep(crashAfter)
+	time.Sleep(crashDelay)
 	if ctx.Err() != nil {
 		return
 	}
 	crash()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ends[content]++
-	if c.ends[content] == quarantineAfter {
-		c.thirdEnd[content] = time.Now()
+	c.crashes[content]++
+	if c.crashes[content] == quarantineAfter {
+		c.thirdCrash[content] = time.Now()
 	}
 }
 
-// quarantineAfter is how many targets a request may end.
+// quarantineAfter is the number of crashes after which a request is quarantined.
 const quarantineAfter = 3
 
-// later returns how often a request reached targets when all VMs should have known of it.
-func (c *crashes) later(content string) (n int, known bool) {
+// lateArrivals returns how often a request reached targets after propagationTime.
+func (c *crashingTargets) lateArrivals(content string) (n int, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	third, known := c.thirdEnd[content]
-	for _, at := range c.arrived[content] {
-		if known && at.After(third.Add(spreadTime)) {
+	third, known := c.thirdCrash[content]
+	for _, at := range c.arrivals[content] {
+		if known && at.After(third.Add(propagationTime)) {
 			n++
 		}
 	}
 	return n, known
 }
 
-// post sends a request with a body and returns status 0 if the VM cannot be reached.
+// post sends a request with a body; the status is 0 if the VM cannot be reached.
 func post(address, path, body string) (int, string) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -164,21 +164,21 @@
 	}
 	defer c.Close()
 	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\nX-Deadline: 5000\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
-	return answerOn(c)
+	return readResponse(c)
 }
 
-// repeat sends requests that end their targets to VMs in turn until all VMs should know of
-// them, and for as long again.
-func (c *crashes) repeat(vms []*vm, requests map[string]func(address string)) {
+// sendUntilKnown sends each request to the VMs in turn until twice the propagation time
+// after its third crash.
+func (c *crashingTargets) sendUntilKnown(vms []*vm, requests map[string]func(address string)) {
 	var all sync.WaitGroup
 	for content, send := range requests {
 		all.Go(func() {
 			for i := 0; ; i++ {
 				send(vms[i%len(vms)].options.EntryAddress)
 				c.mu.Lock()
-				third, known := c.thirdEnd[content]
+				third, known := c.thirdCrash[content]
 				c.mu.Unlock()
-				if known && time.Since(third) > 2*spreadTime {
+				if known && time.Since(third) > 2*propagationTime {
 					return
 				}
 				time.Sleep(100 * time.Millisecond)
@@ -188,30 +188,30 @@
 	all.Wait()
 }
 
-// Guards against requests that end every target that runs them and come again at any VM,
-// one that has just started among them.
-func TestRequestsThatEndTargetsAreKeptFromThem(t *testing.T) {
+// Guards against a request that crashes one target after another because some VM, for
+// example one that just started, does not know that it is quarantined.
+func TestCrashingRequestsAreQuarantined(t *testing.T) {
 	f := newFleet(t)
-	c := newCrashes(f, 12)
+	c := newCrashingTargets(f, 12)
 	f.configure(1, "/p/")
 	vms := []*vm{f.start("a", "n1", f.kv), f.start("b", "n2", f.kv), f.start("c", "s1", f.kv)}
 	for _, v := range vms {
-		until(t, "never served", is(v.options.EntryAddress, "/p/x", http.StatusOK))
+		waitFor(t, "never served", respondsWith(v.options.EntryAddress, "/p/x", http.StatusOK))
 	}
 	requests := map[string]func(string){
 		"/p/" + crashMark + "/1":     func(address string) { get(address, "/p/"+crashMark+"/1") },
 		"/p/" + crashMark + "/2?a=b": func(address string) { get(address, "/p/"+crashMark+"/2?a=b") },
 		"/p/" + crashMark + "/3body": func(address string) { post(address, "/p/"+crashMark+"/3", "body") },
 	}
-	c.repeat(vms, requests)
+	c.sendUntilKnown(vms, requests)
 	vms[0].Close()
 	joined := f.start("d", "n1", f.kv)
-	until(t, "the new VM never served", is(joined.options.EntryAddress, "/p/x", http.StatusOK))
+	waitFor(t, "the new VM never served", respondsWith(joined.options.EntryAddress, "/p/x", http.StatusOK))
 	for content, send := range requests {
 		send(joined.options.EntryAddress)
 		send(joined.options.EntryAddress)
-		if n, known := c.later(content); n > maxLater || !known {
-			t.Errorf("%s reached targets %d times when all VMs should have known of it, %d allowed", content, n, maxLater)
+		if n, known := c.lateArrivals(content); n > maxLateArrivals || !known {
+			t.Errorf("%s reached targets %d times after the propagation time, %d allowed", content, n, maxLateArrivals)
 		}
 	}
 	for _, v := range []*vm{vms[1], vms[2], joined} {
@@ -221,56 +221,56 @@
 	}
 }
 
-// cuttable is the path of one VM to the store.
-type cuttable struct {
+// disconnectable is a store client whose connection can be cut.
+type disconnectable struct {
 	store.KV
-	cut atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (c *cuttable) Watch(ctx context.Context, prefix string, after store.Revision) (store.Batch, error) {
-	if c.cut.Load() {
+func (c *disconnectable) Watch(ctx context.Context, prefix string, after store.Revision) (store.Batch, error) {
+	if c.disconnected.Load() {
 		return store.Batch{}, store.ErrUnavailable
 	}
 	return c.KV.Watch(ctx, prefix, after)
 }
 
-func (c *cuttable) KeepAlive(ctx context.Context, lease store.LeaseID) error {
-	if c.cut.Load() {
+func (c *disconnectable) KeepAlive(ctx context.Context, lease store.LeaseID) error {
+	if c.disconnected.Load() {
 		return store.ErrUnavailable
 	}
 	return c.KV.KeepAlive(ctx, lease)
 }
 
-func (c *cuttable) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
-	if c.cut.Load() {
+func (c *disconnectable) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
+	if c.disconnected.Load() {
 		return 0, store.ErrUnavailable
 	}
 	return c.KV.Swap(ctx, key, value, expected, lease)
 }
 
-// The same in a region whose VMs learn of each other by digests, with requests that other VMs
-// decide on, and a VM that is cut off from the store.
-func TestRequestsThatEndTargetsInALargeRegion(t *testing.T) {
+// The same in a large region, where VMs exchange digests and delegate requests, with one VM
+// cut off from the store.
+func TestCrashingRequestsAreQuarantinedInLargeRegion(t *testing.T) {
 	f := newFleet(t)
-	c := newCrashes(f, 12)
+	c := newCrashingTargets(f, 12)
 	f.configure(1, "/p/")
 	var vms []*vm
 	for i := range 10 {
 		vms = append(vms, f.start(fmt.Sprint("vm-", i), "n1", f.kv))
 	}
-	path := &cuttable{KV: f.kv}
+	path := &disconnectable{KV: f.kv}
 	vms = append(vms, f.start("far", "s1", f.kv), f.start("cut", "s1", path))
 	for _, v := range vms {
-		until(t, v.options.VM.Name+" never served", is(v.options.EntryAddress, "/p/x", http.StatusOK))
+		waitFor(t, v.options.VM.Name+" never served", respondsWith(v.options.EntryAddress, "/p/x", http.StatusOK))
 	}
-	path.cut.Store(true)
+	path.disconnected.Store(true)
 	const bad = "/p/" + crashMark
-	c.repeat(vms, map[string]func(string){bad: func(address string) { getKey(address, bad, "key") }})
-	if n, known := c.later(bad); n > maxLater || !known {
-		t.Errorf("it reached targets %d times when all VMs should have known of it, %d allowed", n, maxLater)
+	c.sendUntilKnown(vms, map[string]func(string){bad: func(address string) { getWithKey(address, bad, "key") }})
+	if n, known := c.lateArrivals(bad); n > maxLateArrivals || !known {
+		t.Errorf("request reached targets %d times after the propagation time, %d allowed", n, maxLateArrivals)
 	}
 	for _, v := range vms {
-		if status, body := getKey(v.options.EntryAddress, bad, "key"); status != http.StatusServiceUnavailable || !strings.Contains(body, "quarantined") {
+		if status, body := getWithKey(v.options.EntryAddress, bad, "key"); status != http.StatusServiceUnavailable || !strings.Contains(body, "quarantined") {
 			t.Errorf("%s answers %d %q", v.options.VM.Name, status, body)
 		}
 	}
--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -24,86 +24,85 @@
 )
 
 const (
-	// bodyShare of the memory may hold request bodies.
-	bodyShare = 0.25
-	// answerBytes bounds one answer of a target.
-	answerBytes = 16 << 20
-	// maintainEvery is how often lines, peers and suspects are looked at.
-	maintainEvery = 100 * time.Millisecond
-	// lineEvery is the same while requests wait.
-	lineEvery = 10 * time.Millisecond
-	// metricsEvery is how often the metrics page is brought up to date.
-	metricsEvery = 2 * time.Second
-	// stopTaking is how long after a planned stop began new requests are taken:
-	// callers ask the directory again within it.
-	stopTaking = 3 * time.Second
-	// exitMargin is how long before the end of the grace time the process exits.
+	// bodyMemoryShare is the fraction of the memory limit that request bodies may use.
+	bodyMemoryShare = 0.25
+	// maxResponseBytes limits the size of one target response.
+	maxResponseBytes = 16 << 20
+	// maintainInterval is the period of expiry, peer checks and health probes.
+	maintainInterval = 100 * time.Millisecond
+	// queueInterval replaces maintainInterval while requests are queued.
+	queueInterval = 10 * time.Millisecond
+	// metricsInterval is the refresh period of the metrics page.
+	metricsInterval = 2 * time.Second
+	// drainPeriod is how long new requests are still accepted after a shutdown began.
+	// It exceeds directoryTTL, so callers have resolved other VMs by its end.
+	drainPeriod = 3 * time.Second
+	// exitMargin is how long before the end of the grace period the process exits.
 	exitMargin = 300 * time.Millisecond
-	// stopPoll is how often a stop looks whether all answers are given.
-	stopPoll = 20 * time.Millisecond
+	// drainPollInterval is how often a shutdown checks for requests in flight.
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // Entry is a running VM.
 type Entry struct {
-	options   Options
-	log       *logrus.Logger
-	delays    *delays
-	members   *peers.Members
-	balancer  *placing.Balancer
-	gateway   *gateway.Gateway
-	replica   *replica.Replica
-	snapshots *snapshots
-	catalog   *catalog.Catalog
-	talk      *exchange.Exchange
-	metrics   *scrape.Metrics
-	counts    *counts
-	owners    *owners.Table
-	// quarantine knows the requests that end targets.
-	quarantine *quarantine.Quarantine
-	// front serves callers, peer other VMs.
-	front       *serve.Server
-	peer        *serve.Server
-	servers     []*serve.Server
-	leaving     atomic.Bool
-	digests     *peers.Digests
-	regionState *regionState
-	stop        context.CancelFunc
-	// unlist ends the registration.
-	unlist context.CancelFunc
+	options        Options
+	log            *logrus.Logger
+	roundTrips     *roundTrips
+	members        *peers.Members
+	balancer       *placing.Balancer
+	gateway        *gateway.Gateway
+	replica        *replica.Replica
+	snapshots      *snapshots
+	catalog        *catalog.Catalog
+	exchange       *exchange.Exchange
+	metrics        *scrape.Metrics
+	gatewayMetrics *gatewayMetrics
+	owners         *owners.Table
+	quarantine     *quarantine.Quarantine
+	// callerServer accepts requests of callers, peerServer those of other VMs.
+	callerServer *serve.Server
+	peerServer   *serve.Server
+	servers      []*serve.Server
+	leaving      atomic.Bool
+	digests      *peers.Digests
+	regionState  *regionState
+	stop         context.CancelFunc
+	// deregister cancels the registration of this VM in the store.
+	deregister context.CancelFunc
 }
 
-// Start runs a VM until Leave or Close. It returns an error if an address cannot
+// Start runs a VM until Shutdown or Close. It returns an error if an address cannot
 // be bound.
 func Start(o Options) (*Entry, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Entry{options: o, log: o.Logger, stop: cancel}
 	now := time.Now()
 	e.digests = peers.NewDigests(now)
-	e.regionState = &regionState{log: e.part("entry")}
-	e.delays = newDelays(o.VM.Region)
+	e.regionState = &regionState{log: e.component("entry")}
+	e.roundTrips = newRoundTrips(o.VM.Region)
 	e.members = peers.New(o.VM, now)
-	e.metrics = scrape.New(o.VM.Name, metricsEvery)
-	e.counts = newCounts(e.metrics.Scope)
+	e.metrics = scrape.New(o.VM.Name, metricsInterval)
+	e.gatewayMetrics = newGatewayMetrics(e.metrics.Scope)
 	e.owners = owners.New(o.VM)
 	e.balancer = placing.New(placing.Options{
-		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, Delay: e.delays.get,
+		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, Delay: e.roundTrips.get,
 	})
 	e.quarantine = quarantine.New(quarantine.Options{
-		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.part("quarantine"), Told: e.urgent,
+		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.component("quarantine"), Told: e.reportUrgent,
 	})
 	e.gateway = gateway.New(gateway.Options{
-		Fields: o.Names.Fields, Balancer: e.balancer, Logger: e.part("gateway"), Metrics: e.counts,
-		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMs: e.members.Count, Delay: e.delays.get,
-		Changed: e.changed, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: answerBytes,
+		Fields: o.Names.Fields, Balancer: e.balancer, Logger: e.component("gateway"), Metrics: e.gatewayMetrics,
+		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMs: e.members.Count, Delay: e.roundTrips.get,
+		Changed: e.reportSoon, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: maxResponseBytes,
 	})
-	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.part("catalog"), Changed: e.setView, Now: time.Now})
+	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.component("catalog"), Changed: e.setView, Now: time.Now})
 	e.replica = replica.New(replica.Options{
-		KV: o.KV, Logger: e.part("replica"), Prefix: o.Names.WatchPrefix, Changed: e.apply, FetchFrom: fetchSnapshot,
+		KV: o.KV, Logger: e.component("replica"), Prefix: o.Names.WatchPrefix, Changed: e.applyChanges, FetchFrom: fetchSnapshot,
 		Watches: func() bool { return e.members.Watches(time.Now()) },
 		Leads:   func() bool { return e.members.WatchesAlone(time.Now()) },
 		First:   func() bool { return e.members.WatchesFirst(time.Now()) },
 	})
-	e.snapshots = &snapshots{replica: e.replica, log: e.part("replica")}
+	e.snapshots = &snapshots{replica: e.replica, log: e.component("replica")}
 	if err := e.listen(ctx); err != nil {
 		e.Close()
 		return nil, err
@@ -115,43 +114,43 @@
 	}
 	go e.replica.Run(ctx)
 	go e.maintain(ctx)
-	e.part("entry").WithFields(logrus.Fields{"vm": o.VM.Name, "zone": o.VM.Zone, "region": o.VM.Region}).Info("entry: started")
+	e.component("entry").WithFields(logrus.Fields{"vm": o.VM.Name, "zone": o.VM.Zone, "region": o.VM.Region}).Info("entry: started")
 	return e, nil
 }
 
-func (e *Entry) part(name string) *logrus.Entry { return e.log.WithField("part", name) }
+func (e *Entry) component(name string) *logrus.Entry { return e.log.WithField("part", name) }
 
-// changed tells the other VMs soon.
-func (e *Entry) changed() {
-	if e.talk != nil {
-		e.talk.Changed()
+// reportSoon schedules an early report to the other VMs of the region.
+func (e *Entry) reportSoon() {
+	if e.exchange != nil {
+		e.exchange.Changed()
 	}
 }
 
-// urgent tells the VMs of all regions soon.
-func (e *Entry) urgent() {
-	if e.talk != nil {
-		e.talk.Urgent()
+// reportUrgent schedules an early report to the VMs of all regions.
+func (e *Entry) reportUrgent() {
+	if e.exchange != nil {
+		e.exchange.Urgent()
 	}
 }
 
-// apply takes changes of the store's items in.
-func (e *Entry) apply(changes []replica.Change) {
+// applyChanges routes changes of the store to the quarantine and the catalog.
+func (e *Entry) applyChanges(changes []replica.Change) {
 	if others := e.quarantine.Apply(time.Now(), changes); len(others) > 0 {
 		e.catalog.Apply(others)
 	}
 }
 
 func (e *Entry) listen(ctx context.Context) error {
-	talk, err := exchange.Start(ctx, exchange.Options{
-		Address: e.options.PeerAddress, Logger: e.part("exchange"), State: e.state, Digest: e.digest,
+	ex, err := exchange.Start(ctx, exchange.Options{
+		Address: e.options.PeerAddress, Logger: e.component("exchange"), State: e.state, Digest: e.digest,
 		Recipients: e.recipients, RelayTo: e.relayTo, Received: e.received(ctx),
 	})
 	if err != nil {
 		return err
 	}
-	e.talk = talk
-	memory := buffer.NewBudget(int64(bodyShare * float64(e.options.MemoryBytes))).NewShare()
+	e.exchange = ex
+	memory := buffer.NewBudget(int64(bodyMemoryShare * float64(e.options.MemoryBytes))).NewShare()
 	listeners := []struct {
 		address string
 		handler serve.Handler
@@ -168,60 +167,60 @@
 		}
 		s, err := serve.Start(serve.Options{
 			Address: l.address, Handler: l.handler, Limits: l.limits, Memory: memory,
-			Logger: e.part("serve"), MaxConnections: e.options.MaxConnections,
+			Logger: e.component("serve"), MaxConnections: e.options.MaxConnections,
 		})
 		if err != nil {
 			return err
 		}
-		if e.front == nil {
-			e.front = s
+		if e.callerServer == nil {
+			e.callerServer = s
 		}
 		if l.address == e.options.PeerAddress {
-			e.peer = s
+			e.peerServer = s
 		}
 		e.servers = append(e.servers, s)
 	}
 	return nil
 }
 
-// listenMetrics shows the metrics on a port of their own. A port that is taken must not
-// keep the VM from serving callers.
+// listenMetrics serves the metrics on a separate port. A failure to bind it is only
+// logged, so that the VM still serves callers.
 func (e *Entry) listenMetrics() {
 	if e.options.MetricsAddress == "" {
 		return
 	}
 	s, err := serve.Start(serve.Options{
-		Address: e.options.MetricsAddress, Handler: e.handleMetrics, Limits: e.limits, Logger: e.part("serve"),
+		Address: e.options.MetricsAddress, Handler: e.handleMetrics, Limits: e.limits, Logger: e.component("serve"),
 	})
 	if err != nil {
-		e.part("entry").WithError(err).Warn("entry: no port for the metrics")
+		e.component("entry").WithError(err).Warn("entry: cannot listen on the metrics address")
 		return
 	}
 	e.servers = append(e.servers, s)
 }
 
 func (e *Entry) register(ctx context.Context) error {
-	listed, err := registry.New(e.options.KV, e.options.Names.VMKey, e.options.VM, e.replica, e.part("registry"))
+	reg, err := registry.New(e.options.KV, e.options.Names.VMKey, e.options.VM, e.replica, e.component("registry"))
 	if err != nil {
 		return err
 	}
-	own, cancel := context.WithCancel(ctx)
-	e.unlist = cancel
-	go listed.Run(own)
-	go e.watchListing(own, listed)
+	regCtx, cancel := context.WithCancel(ctx)
+	e.deregister = cancel
+	go reg.Run(regCtx)
+	go e.watchRegistration(regCtx, reg)
 	return nil
 }
 
-// watchListing registers anew when the store's list lacks this VM.
-func (e *Entry) watchListing(ctx context.Context, listed *registry.Registry) {
+// watchRegistration registers again when the store's list lacks this VM.
+func (e *Entry) watchRegistration(ctx context.Context, reg *registry.Registry) {
 	for wait.For(ctx, registry.TTL) {
-		if _, loaded := e.replica.At(); loaded && !e.isListed() {
-			listed.Missing()
+		if _, loaded := e.replica.At(); loaded && !e.isRegistered() {
+			reg.Missing()
 		}
 	}
 }
 
-func (e *Entry) isListed() bool {
+func (e *Entry) isRegistered() bool {
 	for _, vm := range e.catalog.View().VMs {
 		if vm.Name == e.options.VM.Name && vm.Incarnation == e.options.VM.Incarnation {
 			return true
@@ -230,20 +229,20 @@
 	return false
 }
 
-// setView puts what the store says in force.
+// setView applies a new view of the store to peers, gateway and round-trip times.
 func (e *Entry) setView(v *catalog.View) {
 	now := time.Now()
 	e.members.Register(v.VMs, now)
-	// Before the targets: what this VM may send to cold ones depends on the others.
-	e.tellVMs(now)
+	// Must precede SetView: this VM's share of requests to cold targets depends on the peers.
+	e.updateSharers(now)
 	e.gateway.SetView(v, now)
 	for _, vm := range e.members.Others() {
-		e.delays.measure(vm.Region, vm.Peer)
+		e.roundTrips.measure(vm.Region, vm.Peer)
 	}
 }
 
-// tellVMs tells the board among which VMs work is divided.
-func (e *Entry) tellVMs(now time.Time) {
+// updateSharers updates the set of VMs that share the region's work and its affinity keys.
+func (e *Entry) updateSharers(now time.Time) {
 	names := e.members.Sharers(now)
 	e.regionState.setSharers(names)
 	e.balancer.SetVMs(names)
@@ -253,33 +252,33 @@
 	e.balancer.SetKeyDivision(e.owners.Divided())
 }
 
-// busy returns the requests of callers and other VMs whose answers are not wholly given.
-func (e *Entry) busy() int { return e.front.InFlight() + e.peer.InFlight() }
+// inFlight returns the number of requests of callers and other VMs without a complete response.
+func (e *Entry) inFlight() int { return e.callerServer.InFlight() + e.peerServer.InFlight() }
 
-// serving reports whether callers may be sent here.
+// serving reports whether the directory may send callers to this VM.
 func (e *Entry) serving() bool { return e.gateway.Ready() && !e.leaving.Load() }
 
-// maintain looks at what changes with the time.
+// maintain runs the periodic work until the context ends.
 func (e *Entry) maintain(ctx context.Context) {
 	last := time.Now()
 	for {
-		pause := maintainEvery
+		pause := maintainInterval
 		if e.balancer.Waiting() > 0 {
-			pause = lineEvery
+			pause = queueInterval
 		}
 		if !wait.For(ctx, pause) {
 			return
 		}
 		now := time.Now()
 		e.balancer.Tick(now)
-		if now.Sub(last) < maintainEvery {
+		if now.Sub(last) < maintainInterval {
 			continue
 		}
 		last = now
 		e.catalog.Expire(now)
-		e.tellVMs(now)
+		e.updateSharers(now)
 		e.quarantine.Tick(ctx, now, e.members.WatchesAlone(now))
-		e.counts.setQuarantine(e.quarantine.Counts())
+		e.gatewayMetrics.setQuarantine(e.quarantine.Counts())
 		e.gateway.Probe(ctx, e.healthPath)
 	}
 }
@@ -291,34 +290,34 @@
 	return "/"
 }
 
-// Shutdown is a planned stop: callers are sent elsewhere, the requests in flight end,
-// and the VM is off the list. It returns when the process may exit.
+// Shutdown stops the VM gracefully: it leaves the directory, accepts requests for
+// drainPeriod and waits for those in flight, all within the grace period.
 func (e *Entry) Shutdown() {
 	began := time.Now()
 	e.leaving.Store(true)
-	e.part("entry").WithField("busy", e.busy()).Info("entry: leaving")
-	e.talk.Flush()
-	e.unlist()
-	e.front.DisableKeepAlives()
-	time.Sleep(stopTaking)
+	e.component("entry").WithField("busy", e.inFlight()).Info("entry: leaving")
+	e.exchange.Flush()
+	e.deregister()
+	e.callerServer.DisableKeepAlives()
+	time.Sleep(drainPeriod)
 	e.gateway.Leave()
-	e.front.StopListening()
-	e.front.CloseIdle()
+	e.callerServer.StopListening()
+	e.callerServer.CloseIdle()
 	until := began.Add(e.options.Grace - exitMargin)
-	for e.busy() > 0 && time.Now().Before(until) {
-		time.Sleep(stopPoll)
+	for e.inFlight() > 0 && time.Now().Before(until) {
+		time.Sleep(drainPollInterval)
 	}
-	// Answers that were just given are still on their way.
+	// Responses just written may still be in the socket buffers.
 	time.Sleep(min(exitMargin, max(0, time.Until(until))))
-	e.part("entry").WithFields(logrus.Fields{"busy": e.busy(), "ms": time.Since(began).Milliseconds()}).Info("entry: stopped")
+	e.component("entry").WithFields(logrus.Fields{"busy": e.inFlight(), "ms": time.Since(began).Milliseconds()}).Info("entry: stopped")
 	e.Close()
 }
 
-// Close ends everything at once.
+// Close stops the VM at once and aborts requests in flight.
 func (e *Entry) Close() {
 	e.stop()
-	if e.unlist != nil {
-		e.unlist()
+	if e.deregister != nil {
+		e.deregister()
 	}
 	for _, s := range e.servers {
 		s.Close()
--- a/edge/entry/entry_test.go
+++ b/edge/entry/entry_test.go
@@ -30,7 +30,7 @@
 	NotRun: "X-Not-Run", TargetID: "X-Target", Load: "X-Load", ColdMillis: "X-Cold",
 }
 
-// codec reads JSON of the project's own types.
+// codec decodes values that are JSON of package site's types.
 type codec struct{}
 
 func (codec) IsConfig(key string) bool { return key == "config" }
@@ -45,11 +45,10 @@
 }
 func (codec) IsVM(key string) bool { return strings.HasPrefix(key, "vm/") }
 
-// QuarantineKey and Quarantined implement quarantine.Keys.
 func (codec) QuarantineKey(fingerprint string) string { return "quarantine/" + fingerprint }
 func (codec) Quarantined(key string) (string, bool)   { return strings.CutPrefix(key, "quarantine/") }
 
-// fleet is entry VMs before one store and one target.
+// fleet is a set of entry VMs with a shared store and one target.
 type fleet struct {
 	t    *testing.T
 	kv   *memkv.Store
@@ -57,7 +56,7 @@
 	mu   sync.Mutex
 	// served counts the requests that reached the target.
 	served int
-	// work is how long the target takes.
+	// work is the target's processing time.
 	work time.Duration
 }
 
@@ -82,7 +81,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{Handler: http.HandlerFunc(f.answer)}
+	server := &http.Server{Handler: http.HandlerFunc(f.handle)}
 	go func() {
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			t.Error(err)
@@ -93,7 +92,7 @@
 	return f
 }
 
-func (f *fleet) answer(w http.ResponseWriter, r *http.Request) {
+func (f *fleet) handle(w http.ResponseWriter, r *http.Request) {
 	f.mu.Lock()
 	f.served++
 	work := f.work
@@ -115,10 +114,9 @@
 	})
 }
 
-// regions of the failure domains.
+// regions maps failure domains to regions.
 var regions = map[string]string{"n1": "n", "n2": "n", "s1": "s"}
 
-// vm is one running VM.
 type vm struct {
 	*entry.Entry
 	options entry.Options
@@ -151,22 +149,21 @@
 	return &vm{e, o}
 }
 
-// get asks a VM once and returns status 0 if it cannot be reached.
-func get(address, path string) (int, string) { return getKey(address, path, "") }
+// get sends one request; the status is 0 if the VM cannot be reached.
+func get(address, path string) (int, string) { return getWithKey(address, path, "") }
 
-// getKey asks about an affinity key.
-func getKey(address, path, key string) (int, string) {
+// getWithKey is get with an affinity key.
+func getWithKey(address, path, key string) (int, string) {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return 0, ""
 	}
 	defer c.Close()
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\nX-Object: %s\r\nX-Deadline: 5000\r\n\r\n", path, key)
-	return answerOn(c)
+	return readResponse(c)
 }
 
-// answerOn reads one answer.
-func answerOn(c net.Conn) (int, string) {
+func readResponse(c net.Conn) (int, string) {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, ""
@@ -175,8 +172,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// until waits for a condition; the test's own time limit ends it.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor polls until the condition holds and fails the test after a minute.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); {
 		if time.Since(began) > time.Minute {
@@ -186,12 +183,12 @@
 	}
 }
 
-func is(address, path string, status int) func() bool {
+func respondsWith(address, path string, status int) func() bool {
 	return func() bool { got, _ := get(address, path); return got == status }
 }
 
-// A VM starts before there is a configuration. It refuses requests as not run and is
-// not ready; then it serves, and follows a change.
+// Before its first configuration a VM must refuse requests and not be ready; afterwards it
+// must follow configuration changes.
 func TestServesOnceConfigured(t *testing.T) {
 	f := newFleet(t)
 	v := f.start("a", "n1", f.kv)
@@ -202,12 +199,12 @@
 		t.Errorf("ready before a configuration")
 	}
 	f.configure(1, "/p/")
-	until(t, "never ready", is(v.options.ReadyAddress, "/ready", http.StatusOK))
-	until(t, "never served", is(v.options.EntryAddress, "/p/x", http.StatusOK))
+	waitFor(t, "never ready", respondsWith(v.options.ReadyAddress, "/ready", http.StatusOK))
+	waitFor(t, "never served", respondsWith(v.options.EntryAddress, "/p/x", http.StatusOK))
 	f.configure(2, "/q/")
-	until(t, "the change never came", is(v.options.EntryAddress, "/q/x", http.StatusOK))
+	waitFor(t, "the change was never applied", respondsWith(v.options.EntryAddress, "/q/x", http.StatusOK))
 	if status, _ := get(v.options.EntryAddress, "/p/x"); status != http.StatusNotFound {
-		t.Errorf("%d on a route that is gone", status)
+		t.Errorf("%d on a removed route", status)
 	}
 	for _, address := range []string{v.options.PeerAddress, v.options.MetricsAddress} {
 		if status, page := get(address, "/metrics"); status != http.StatusOK || !strings.Contains(page, "yuccaroute") {
@@ -215,53 +212,51 @@
 		}
 	}
 	if status, _ := get(v.options.MetricsAddress, "/snapshot"); status != http.StatusNotFound {
-		t.Errorf("%d for the copy on the metrics' port", status)
+		t.Errorf("%d for the snapshot on the metrics port", status)
 	}
 }
 
-// away is a store that answers no call.
-type away struct{ store.KV }
+type unavailableStore struct{ store.KV }
 
-func (away) List(context.Context, string) (store.Listing, error) {
+func (unavailableStore) List(context.Context, string) (store.Listing, error) {
 	return store.Listing{}, store.ErrUnavailable
 }
-func (away) Grant(context.Context, time.Duration) (store.LeaseID, error) {
+func (unavailableStore) Grant(context.Context, time.Duration) (store.LeaseID, error) {
 	return 0, store.ErrUnavailable
 }
-func (away) Watch(context.Context, string, store.Revision) (store.Batch, error) {
+func (unavailableStore) Watch(context.Context, string, store.Revision) (store.Batch, error) {
 	return store.Batch{}, store.ErrUnavailable
 }
 
-// The store turns one VM away and serves the other. The first one is not listed, but it
-// hears the other, so that it serves the configuration and follows its changes.
-func TestFollowsAnotherVMWithoutTheStore(t *testing.T) {
+// A VM that cannot reach the store must follow the configuration through another VM.
+func TestReplicatesFromAnotherVMWithoutTheStore(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, "/p/")
 	served := f.start("a", "n1", f.kv)
-	until(t, "never served", is(served.options.EntryAddress, "/p/x", http.StatusOK))
-	alone := f.start("b", "n2", away{f.kv})
-	// The other one is told of it as if it had been listed before it was turned away.
+	waitFor(t, "never served", respondsWith(served.options.EntryAddress, "/p/x", http.StatusOK))
+	alone := f.start("b", "n2", unavailableStore{f.kv})
+	// The other VM learns of it as if it had been registered before the store became unavailable.
 	f.put("vm/b", alone.options.VM)
-	until(t, "the VM without the store never served", is(alone.options.EntryAddress, "/p/x", http.StatusOK))
+	waitFor(t, "the VM without the store never served", respondsWith(alone.options.EntryAddress, "/p/x", http.StatusOK))
 	f.configure(2, "/q/")
-	until(t, "the change never came", is(alone.options.EntryAddress, "/q/x", http.StatusOK))
+	waitFor(t, "the change was never applied", respondsWith(alone.options.EntryAddress, "/q/x", http.StatusOK))
 }
 
-// A VM stops as planned. Callers are named the other one at once, requests are served
-// until it no longer listens, and it is off the list.
-func TestPlannedStop(t *testing.T) {
+// During a graceful shutdown the directory must stop naming the VM at once, while the VM
+// still serves requests, and its registration must be deleted.
+func TestGracefulShutdown(t *testing.T) {
 	f := newFleet(t)
 	f.configure(1, "/p/")
 	a, b := f.start("a", "n1", f.kv), f.start("b", "n1", f.kv)
 	both := a.options.EntryAddress + "," + b.options.EntryAddress
 	reverse := b.options.EntryAddress + "," + a.options.EntryAddress
-	until(t, "the directory never named both", func() bool {
+	waitFor(t, "the directory never named both", func() bool {
 		_, body := get(a.options.DirectoryAddress, "/resolve?zone=n1&region=n")
 		return body == both || body == reverse
 	})
 	stopped := make(chan struct{})
 	go func() { a.Shutdown(); close(stopped) }()
-	until(t, "the directory names a VM that leaves", func() bool {
+	waitFor(t, "the directory still names the VM that shuts down", func() bool {
 		_, body := get(b.options.DirectoryAddress, "/resolve?zone=n1&region=n")
 		return body == b.options.EntryAddress
 	})
@@ -269,18 +264,17 @@
 		t.Error("ready while leaving")
 	}
 	if status, _ := get(a.options.EntryAddress, "/p/x"); status != http.StatusOK {
-		t.Errorf("%d for a caller that had not asked again", status)
+		t.Errorf("%d for a caller with the old directory response", status)
 	}
 	<-stopped
 	if _, err := f.kv.Get(context.Background(), "vm/a"); !errors.Is(err, store.ErrNotFound) {
-		t.Errorf("still listed: %v", err)
+		t.Errorf("still registered: %v", err)
 	}
 }
 
-// A VM of a large region stops as planned while other VMs work on requests of its callers.
-// It gets no digests from then on, so that all others seemed to be unresponsive after 1.5 s,
-// and it gave up the requests that they had. Their callers get the answers.
-func TestPlannedStopWaitsForOwners(t *testing.T) {
+// A VM of a large region that shuts down gets no more digests. It must not take the VMs that
+// its requests are delegated to for failed and lose their responses.
+func TestGracefulShutdownWaitsForDelegatedRequests(t *testing.T) {
 	const vms, requests, work = 10, 12, 2400 * time.Millisecond
 	f := newFleet(t)
 	f.configure(1, "/p/")
@@ -289,7 +283,7 @@
 		all = append(all, f.start(fmt.Sprint("vm-", i), "n1", f.kv))
 	}
 	leaver := all[vms-1]
-	until(t, "the directory never named all VMs", func() bool {
+	waitFor(t, "the directory never named all VMs", func() bool {
 		_, body := get(leaver.options.DirectoryAddress, "/resolve?zone=n1&region=n")
 		return strings.Count(body, ",") == vms-1
 	})
@@ -299,18 +293,18 @@
 	statuses := make(chan int, requests)
 	for i := range requests {
 		go func() {
-			status, _ := getKey(leaver.options.EntryAddress, "/p/x", fmt.Sprint("key-", i))
+			status, _ := getWithKey(leaver.options.EntryAddress, "/p/x", fmt.Sprint("key-", i))
 			statuses <- status
 		}()
 	}
-	until(t, "the target never got a request", func() bool {
+	waitFor(t, "the target never got a request", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.served > 0
 	})
 	go leaver.Shutdown()
 	for range requests {
-		// Some are refused, as the only target is full; none may be lost.
+		// The only target may be at capacity; a refusal is no lost request.
 		if status := <-statuses; status != http.StatusOK && status != http.StatusServiceUnavailable {
 			t.Errorf("status %d", status)
 		}
--- a/edge/entry/talk.go
+++ b/edge/entry/exchange.go
@@ -12,17 +12,17 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Names under which the sums of several VMs are kept: those of the own region and of
-// all others, as a listener tells them.
+// Peer names under which aggregated counts are kept: of the own region, and of all
+// other regions as reported by a listener.
 const (
 	regionSums      = "near"
 	otherRegionSums = "far"
 )
 
-// regionName stands for the VMs of another region that report in sum.
-func regionName(region string) string { return "region " + region }
+// regionPeerName returns the peer name for the aggregated counts of another region.
+func regionPeerName(region string) string { return "region " + region }
 
-// recipients returns who gets what.
+// recipients returns the VMs that get this VM's reports and digests.
 func (e *Entry) recipients() exchange.Recipients {
 	now := time.Now()
 	g := e.members.Group(now)
@@ -31,7 +31,7 @@
 	listens := len(to.SameRegion) < len(g.Listeners)
 	e.digests.Await(now, g.Large && !listens)
 	e.regionState.setRole(role{
-		listens: g.Large && listens, sends: g.Large && g.Listeners[0].Name == own, missing: e.digests.Missing(now),
+		listens: g.Large && listens, sendsDigests: g.Large && g.Listeners[0].Name == own, digestsMissing: e.digests.Missing(now),
 	})
 	if listens {
 		to.OtherRegions = peersOf(g.Far, own)
@@ -43,31 +43,31 @@
 	return to
 }
 
-// relayTo returns the VMs to which this one passes a digest on.
+// relayTo returns the VMs to which this one forwards a digest.
 func (e *Entry) relayTo() ([]exchange.Peer, exchange.Relay) {
 	at, _ := e.replica.At()
 	via := exchange.Relay{Peer: e.options.VM.Peer, Revision: uint64(at)}
 	return peersOf(e.members.Group(time.Now()).SameDomain, e.options.VM.Name), via
 }
 
-func peersOf(vms []site.VM, but string) []exchange.Peer {
+func peersOf(vms []site.VM, except string) []exchange.Peer {
 	list := make([]exchange.Peer, 0, len(vms))
 	for _, vm := range vms {
-		if vm.Name != but {
+		if vm.Name != except {
 			list = append(list, exchange.Peer{Name: vm.Name, Address: vm.Peer})
 		}
 	}
 	return list
 }
 
-// state is the report on this VM, or on its region in sum.
+// state returns the report on this VM, or the aggregated one on its region.
 func (e *Entry) state(sum bool) exchange.State {
 	now := time.Now()
 	at, _ := e.replica.At()
 	s := exchange.State{
 		VM: e.options.VM, Leaving: e.leaving.Load(), Serving: e.gateway.Ready(), Linked: e.replica.Linked(),
 		Revision: uint64(at), NoDigest: e.digests.Missing(now),
-		// A sum goes to other regions, which have what came from them.
+		// Aggregated reports go to other regions, which already know their own events.
 		Events: e.quarantine.Recent(now, !sum),
 	}
 	if !sum {
@@ -79,7 +79,7 @@
 	return s
 }
 
-// digest is what all VMs of the region get.
+// digest returns the digest for the VMs of the region.
 func (e *Entry) digest(full bool) *exchange.Digest {
 	now := time.Now()
 	inFlight, demand := e.balancer.RegionSums(now)
@@ -97,28 +97,28 @@
 	return d
 }
 
-// received takes in a report of another VM.
+// received returns the handler of reports from other VMs.
 func (e *Entry) received(ctx context.Context) func(exchange.State) {
 	return func(s exchange.State) {
 		now := time.Now()
 		if e.members.Observe(s.VM, peers.State{At: now, Serving: s.Serving, Leaving: s.Leaving, Linked: s.Linked, NoDigest: s.NoDigest}) {
-			e.delays.measure(s.VM.Region, s.VM.Peer)
+			e.roundTrips.measure(s.VM.Region, s.VM.Peer)
 		}
-		e.takeCounts(now, s)
-		e.takeEvents(now, &s)
+		e.applyCounts(now, s)
+		e.applyEvents(now, &s)
 		if s.Relay != nil {
 			e.replica.ObservePeer(ctx, s.Relay.Peer, true, store.Revision(s.Relay.Revision), now)
 		}
-		// A copy from a VM of the own failure domain costs no bytes between domains;
-		// the listener's is for when the relay does not have the change soon.
+		// Snapshots from a VM of the own failure domain cause no traffic between domains;
+		// the listener is the fallback for a relay that lacks the change.
 		near := s.VM.Region == e.options.VM.Region && s.Relay == nil
 		e.replica.ObservePeer(ctx, s.VM.Peer, near, store.Revision(s.Revision), now)
 	}
 }
 
-// takeEvents takes in what another VM saw of requests that end targets. A listener of a large
-// region tells the others of it, and other regions what its own saw.
-func (e *Entry) takeEvents(now time.Time, s *exchange.State) {
+// applyEvents passes another VM's crash events to the quarantine. A listener of a large
+// region relays them to the region, and its region's events to other regions.
+func (e *Entry) applyEvents(now time.Time, s *exchange.State) {
 	if len(s.Events) == 0 {
 		return
 	}
@@ -130,23 +130,23 @@
 	}
 }
 
-// takeCounts takes in requests in flight and demand: of the VM, of its region, or of
+// applyCounts updates in-flight requests and demand of a VM, of its region, or of
 // all VMs.
-func (e *Entry) takeCounts(now time.Time, s exchange.State) {
+func (e *Entry) applyCounts(now time.Time, s exchange.State) {
 	if s.Digest != nil {
-		e.takeDigest(now, s.Digest)
+		e.applyDigest(now, s.Digest)
 		return
 	}
 	name := s.VM.Name
 	if s.Sum {
-		name = regionName(s.VM.Region)
+		name = regionPeerName(s.VM.Region)
 	}
 	e.balancer.SetPeer(now, name, &placing.Peer{
 		InFlight: s.InFlight, Demand: map[string]map[string]float64{s.VM.Region: s.Demand}, Sum: s.Sum, At: now,
 	})
 }
 
-func (e *Entry) takeDigest(now time.Time, d *exchange.Digest) {
+func (e *Entry) applyDigest(now time.Time, d *exchange.Digest) {
 	e.digests.Received(now)
 	e.balancer.SetRegionSums(now, regionSums, d.InFlight, d.Demand)
 	if d.Full == nil {
--- /dev/null
+++ b/edge/entry/gatewaymetrics.go
@@ -0,0 +1,108 @@
+package entry
+
+import (
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/uber-go/tally/v4"
+)
+
+// latencyBuckets are the buckets of the request latency histogram.
+var latencyBuckets = tally.DurationBuckets{
+	25 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond,
+	300 * time.Millisecond, 400 * time.Millisecond, 600 * time.Millisecond, time.Second,
+	2 * time.Second, 4 * time.Second, 8 * time.Second,
+}
+
+// gatewayMetrics implements gateway.Metrics. It caches counters and histograms by their
+// tags, because creating a tally scope is much slower than incrementing a counter.
+type gatewayMetrics struct {
+	scope tally.Scope
+
+	mu       sync.Mutex
+	requests map[requestTags]requestMetrics
+	attempts map[attemptTags]tally.Counter
+	// delegations are keyed by outcome, targetEnds by service.
+	delegations map[string]tally.Counter
+	targetEnds  map[string]tally.Counter
+}
+
+type requestTags struct {
+	route, service string
+	code           int
+}
+
+type requestMetrics struct {
+	ended   tally.Counter
+	latency tally.Histogram
+}
+
+type attemptTags struct{ service, outcome string }
+
+func newGatewayMetrics(scope tally.Scope) *gatewayMetrics {
+	return &gatewayMetrics{scope: scope, requests: make(map[requestTags]requestMetrics), attempts: make(map[attemptTags]tally.Counter),
+		delegations: make(map[string]tally.Counter), targetEnds: make(map[string]tally.Counter)}
+}
+
+// Ended implements gateway.Metrics.
+func (c *gatewayMetrics) Ended(route, service string, code int, took time.Duration) {
+	m := c.request(requestTags{route, service, code})
+	m.ended.Inc(1)
+	m.latency.RecordDuration(took)
+}
+
+func (c *gatewayMetrics) request(tags requestTags) requestMetrics {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	m, ok := c.requests[tags]
+	if !ok {
+		scope := c.scope.Tagged(map[string]string{
+			"route": tags.route, "service": tags.service, "result": strconv.Itoa(tags.code),
+		})
+		m = requestMetrics{ended: scope.Counter("requests"), latency: scope.Histogram("latency", latencyBuckets)}
+		c.requests[tags] = m
+	}
+	return m
+}
+
+// Sent implements gateway.Metrics.
+func (c *gatewayMetrics) Sent(service, outcome string) {
+	c.mu.Lock()
+	tags := attemptTags{service, outcome}
+	counter, ok := c.attempts[tags]
+	if !ok {
+		counter = c.scope.Tagged(map[string]string{"service": service, "end": outcome}).Counter("sendings")
+		c.attempts[tags] = counter
+	}
+	c.mu.Unlock()
+	counter.Inc(1)
+}
+
+// Delegated implements gateway.Metrics.
+func (c *gatewayMetrics) Delegated(outcome string) {
+	c.taggedCounter(c.delegations, "delegations", "end", outcome).Inc(1)
+}
+
+// TargetEnded implements gateway.Metrics.
+func (c *gatewayMetrics) TargetEnded(service string) {
+	c.taggedCounter(c.targetEnds, "target_ends", "service", service).Inc(1)
+}
+
+// setQuarantine updates the gauges of suspected and quarantined requests.
+func (c *gatewayMetrics) setQuarantine(suspected, quarantined int) {
+	c.scope.Gauge("requests_suspected").Update(float64(suspected))
+	c.scope.Gauge("requests_quarantined").Update(float64(quarantined))
+}
+
+// taggedCounter returns the cached counter for a tag value, creating it if needed.
+func (c *gatewayMetrics) taggedCounter(counters map[string]tally.Counter, name, tag, value string) tally.Counter {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	counter, ok := counters[value]
+	if !ok {
+		counter = c.scope.Tagged(map[string]string{tag: value}).Counter(name)
+		counters[value] = counter
+	}
+	return counter
+}
--- a/edge/entry/handlers.go
+++ b/edge/entry/handlers.go
@@ -13,36 +13,34 @@
 )
 
 const (
-	// metricsPath shows the metrics.
 	metricsPath = "/metrics"
-	// directoryTTL is how long callers may keep an answer of the directory. A VM
-	// that stops takes requests for longer than that.
+	// directoryTTL is the TTL of directory responses. It is shorter than drainPeriod.
 	directoryTTL = 2 * time.Second
-	// Limits before a configuration is known.
-	firstHeaderBytes = 16 << 10
-	firstBodyBytes   = 1 << 20
-	firstHeaderTime  = 3 * time.Second
-	firstIdleTime    = 15 * time.Second
-	// peerHeaderBytes is what other VMs add to a caller's fields, at most.
+	// Limits in force before the first configuration is known.
+	defaultHeaderBytes = 16 << 10
+	defaultBodyBytes   = 1 << 20
+	defaultHeaderTime  = 3 * time.Second
+	defaultIdleTime    = 15 * time.Second
+	// peerHeaderBytes is the extra header size for fields that VMs add to delegated requests.
 	peerHeaderBytes = 1 << 10
-	// peerIdleTime is longer than other VMs keep an idle connection.
+	// peerIdleTime exceeds the idle timeout of other VMs' connection pools.
 	peerIdleTime = time.Minute
 )
 
-// limits are those of the configuration in force.
+// limits returns the limits of the current configuration, or the defaults.
 func (e *Entry) limits() serve.Limits {
 	c := e.catalog.View().Config
 	if c == nil || c.Limits.HeaderBytes == 0 {
 		return serve.Limits{
-			HeaderBytes: firstHeaderBytes, BodyBytes: firstBodyBytes,
-			HeaderTime: firstHeaderTime, IdleTime: firstIdleTime,
+			HeaderBytes: defaultHeaderBytes, BodyBytes: defaultBodyBytes,
+			HeaderTime: defaultHeaderTime, IdleTime: defaultIdleTime,
 		}
 	}
 	return serve.Limits(c.Limits)
 }
 
-// peerLimits are those of other VMs: they add fields of their own, and keep connections for
-// longer than callers may.
+// peerLimits returns the limits for connections of other VMs, which add header fields
+// and keep connections open for longer than callers.
 func (e *Entry) peerLimits() serve.Limits {
 	l := e.limits()
 	l.HeaderBytes += peerHeaderBytes
@@ -79,7 +77,7 @@
 		if err != nil {
 			return serve.PlainText(http.StatusBadRequest, "after is no revision\n")
 		}
-		return e.snapshots.answer(store.Revision(after))
+		return e.snapshots.respond(store.Revision(after))
 	case metricsPath:
 		return e.metricsPage()
 	}
@@ -99,7 +97,7 @@
 	return &serve.Response{Status: http.StatusOK, Header: page.header, Body: page.Bytes()}
 }
 
-// pageWriter holds a page that an http.Handler writes.
+// pageWriter is an http.ResponseWriter that buffers the body.
 type pageWriter struct {
 	bytes.Buffer
 	header http.Header
--- a/edge/entry/options.go
+++ b/edge/entry/options.go
@@ -1,5 +1,5 @@
-// Package entry is one entry VM: it wires the store's copy, the other VMs, the
-// decisions and the listeners together.
+// Package entry runs one entry VM: it connects the replica of the store, the exchange
+// with other VMs, the placement of requests and the listeners.
 package entry
 
 import (
@@ -15,16 +15,17 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Names are the calls and keys that are named by the platform.
+// Names are the paths, header fields and store keys defined by the platform.
 type Names struct {
 	Fields      site.FieldNames
 	ResolvePath string
 	ReadyPath   string
-	// VMKey is the key under which this VM is listed.
+	// VMKey is the store key of this VM's registration.
 	VMKey string
-	// WatchPrefix is that of all keys that matter.
+	// WatchPrefix covers all store keys that entry VMs read.
 	WatchPrefix string
-	// ParseCaller reads who asks for entry VMs; Resolved renders the answer.
+	// ParseCaller reads the caller's failure domain and region from a directory query;
+	// EncodeAddresses encodes the directory's response.
 	ParseCaller     func(query url.Values) (zone, region string)
 	EncodeAddresses func(addresses []string, ttl time.Duration) *serve.Response
 }
@@ -32,27 +33,28 @@
 // Options configure a VM.
 type Options struct {
 	VM site.VM
-	// EntryAddress, ReadyAddress and DirectoryAddress are where callers and the
-	// platform connect; PeerAddress is for other VMs, by TCP and UDP.
+	// EntryAddress, ReadyAddress and DirectoryAddress serve callers and the platform;
+	// PeerAddress serves other VMs by TCP and UDP.
 	EntryAddress, ReadyAddress, DirectoryAddress, PeerAddress string
-	// MetricsAddress shows the metrics, as PeerAddress does too; "" for nowhere else.
+	// MetricsAddress is an additional address for the metrics that PeerAddress serves;
+	// "" disables it.
 	MetricsAddress string
 	// RegionOf maps each failure domain to its region.
 	RegionOf map[string]string
 	Names    Names
 	Codec    catalog.Codec
-	// QuarantineKeys tells the keys of the records of quarantined requests.
+	// QuarantineKeys maps quarantined requests to store keys.
 	QuarantineKeys quarantine.Keys
 	KV             store.KV
 	Logger         *logrus.Logger
-	// MemoryBytes is what the process may take.
+	// MemoryBytes is the memory limit of the process.
 	MemoryBytes int64
-	// MaxConnections bounds callers' connections.
+	// MaxConnections limits the open connections of each listener.
 	MaxConnections int
-	// Grace is how long a planned stop may take.
+	// Grace is the time limit of a graceful shutdown.
 	Grace time.Duration
-	// MaxTTL is the longest time that callers keep an answer of the directory.
+	// MaxTTL is the upper bound for the TTL of directory responses.
 	MaxTTL time.Duration
-	// RetryRatio and RetryExtra bound repeated sendings, of all VMs together.
+	// RetryRatio and RetryExtra limit the retries of all VMs together.
 	RetryRatio, RetryExtra float64
 }
--- a/edge/entry/regionstate.go
+++ b/edge/entry/regionstate.go
@@ -7,8 +7,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// regionState is what this VM last took its region to be, to log each change once. It is
-// safe for use by several goroutines.
+// regionState holds the last known state of the region, so that each change is logged
+// once. It is safe for concurrent use.
 type regionState struct {
 	log *logrus.Entry
 
@@ -17,40 +17,40 @@
 	sharers []string
 }
 
-// role is what this VM does for its region, and what it gets.
+// role is this VM's part in the exchange of reports within its region.
 type role struct {
-	// listens tells that this VM gets the reports of all others of a large region, sends that it
-	// is the one that sends the digests.
-	listens, sends bool
-	// missing tells that digests should come and none do.
-	missing bool
+	// listens is set when this VM receives the reports of all VMs of a large region,
+	// sendsDigests when it is the listener that sends the digests.
+	listens, sendsDigests bool
+	// digestsMissing is set when expected digests do not arrive.
+	digestsMissing bool
 }
 
-func (s *regionState) setRole(now role) {
+func (s *regionState) setRole(role role) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.role
-	s.role = now
-	if now.missing && !old.missing {
+	s.role = role
+	if role.digestsMissing && !old.digestsMissing {
 		s.log.Warn("entry: digests lost")
 	}
-	if old.missing && !now.missing {
+	if old.digestsMissing && !role.digestsMissing {
 		s.log.Info("entry: digests regained")
 	}
-	if now.listens != old.listens || now.sends != old.sends {
-		s.log.WithFields(logrus.Fields{"listens": now.listens, "sends_digests": now.sends}).
+	if role.listens != old.listens || role.sendsDigests != old.sendsDigests {
+		s.log.WithFields(logrus.Fields{"listens": role.listens, "sends_digests": role.sendsDigests}).
 			Info("entry: role in the region changed")
 	}
 }
 
-// listens reports whether this VM gets the reports of all others of a large region.
+// listens reports whether this VM receives the reports of all VMs of a large region.
 func (s *regionState) listens() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.role.listens
 }
 
-// setSharers takes the sorted names of the VMs among which work is divided.
+// setSharers sets the sorted names of the VMs that share the region's work.
 func (s *regionState) setSharers(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	s.sharers = names
 }
 
-// without returns the names of the first list that the second, sorted one lacks.
+// without returns the names that are not in others, which is sorted.
 func without(names, others []string) []string {
 	var left []string
 	for _, name := range names {
--- a/edge/entry/regionstate_test.go
+++ b/edge/entry/regionstate_test.go
@@ -8,9 +8,8 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// An engineer asks why a cold target got requests from a VM that should not have sent any.
-// The log tells from when on that VM took another one for gone, and when it got no digest.
-func TestEachChangeOfTheRegionIsLoggedOnce(t *testing.T) {
+// Each change of the sharing VMs, the digests and the role must be logged exactly once.
+func TestRegionChangesAreLoggedOnce(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	s := &regionState{log: logrus.NewEntry(logger)}
 	for range 2 {
@@ -19,9 +18,9 @@
 	}
 	for range 2 {
 		s.setSharers([]string{"a", "c", "d"})
-		s.setRole(role{missing: true})
+		s.setRole(role{digestsMissing: true})
 	}
-	s.setRole(role{listens: true, sends: true})
+	s.setRole(role{listens: true, sendsDigests: true})
 	var lines []string
 	for _, entry := range hook.AllEntries() {
 		lines = append(lines, entry.Message)
--- a/edge/entry/snapshots.go
+++ b/edge/entry/snapshots.go
@@ -20,128 +20,121 @@
 )
 
 const (
-	// snapshotPath is where other VMs read this VM's copy of the store.
-	snapshotPath = "/snapshot"
-	// snapshotTimeout bounds reading a copy.
+	// snapshotPath serves this VM's replica to other VMs.
+	snapshotPath    = "/snapshot"
 	snapshotTimeout = 2 * time.Second
-	// snapshotIdle is how long a connection for snapshots is kept; it is shorter than other
-	// VMs keep theirs.
+	// snapshotIdle is the client's idle timeout; it is shorter than the server's.
 	snapshotIdle = 5 * time.Second
-	// compressFrom is the length from which on a copy is compressed. Shorter ones are
-	// what changed lately, and a compressor takes more memory than they have.
-	compressFrom = 4 << 10
-	// maxSnapshotBytes bounds a copy: 330,000 targets of 200 bytes each.
+	// compressThreshold is the size from which snapshots are compressed. For smaller
+	// ones the compressor needs more memory than it saves.
+	compressThreshold = 4 << 10
+	// maxSnapshotBytes limits the size of a decoded snapshot.
 	maxSnapshotBytes = 64 << 20
-	// gzipEncoding is the encoding of compressed snapshots.
-	gzipEncoding = "gzip"
+	gzipEncoding     = "gzip"
 )
 
-// snapshots gives this VM's replica of the store to other VMs. It is safe for use by several
-// goroutines.
-//
-// Guard against VMs that all start at once and ask the same one for all items: it shows as
-// a VM that runs out of memory and of its link. The guard holds because a whole copy is
-// rendered once for each revision, and is compressed.
+// snapshots serves this VM's replica of the store to other VMs. A full snapshot is
+// encoded once per revision, so that many VMs starting at once do not exhaust memory
+// and bandwidth. It is safe for concurrent use.
 type snapshots struct {
 	replica *replica.Replica
 	log     *logrus.Entry
 
 	mu sync.Mutex
-	// whole is the copy of all items at a revision.
-	whole rendered
-	at    store.Revision
+	// full is the encoded full snapshot at revision at.
+	full encodedSnapshot
+	at   store.Revision
 }
 
-// rendered is a copy as it is sent.
-type rendered struct {
-	text       []byte
+// encodedSnapshot is a snapshot as sent on the wire.
+type encodedSnapshot struct {
+	data       []byte
 	compressed bool
 }
 
-// answer is what changed after a revision, or all items if that is not remembered.
-func (c *snapshots) answer(after store.Revision) *serve.Response {
-	r, err := c.render(after)
+// respond returns the changes after a revision, or a full snapshot if they are not retained.
+func (c *snapshots) respond(after store.Revision) *serve.Response {
+	r, err := c.encode(after)
 	if err != nil {
-		c.log.WithError(err).Error("replica: copy for a peer not rendered")
+		c.log.WithError(err).Error("replica: failed to encode snapshot for a peer")
 		return serve.PlainText(http.StatusInternalServerError, err.Error())
 	}
-	a := &serve.Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"application/msgpack"}}, Body: r.text}
+	a := &serve.Response{Status: http.StatusOK, Header: http.Header{"Content-Type": {"application/msgpack"}}, Body: r.data}
 	if r.compressed {
 		a.Header.Set("Content-Encoding", gzipEncoding)
 	}
 	return a
 }
 
-func (c *snapshots) render(after store.Revision) (rendered, error) {
+func (c *snapshots) encode(after store.Revision) (encodedSnapshot, error) {
 	if c.replica.Remembers(after) {
-		return render(c.replica.SnapshotAfter(after))
+		return encodeSnapshot(c.replica.SnapshotAfter(after))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at, _ := c.replica.At(); at == c.at && c.whole.text != nil {
-		return c.whole, nil
+	if at, _ := c.replica.At(); at == c.at && c.full.data != nil {
+		return c.full, nil
 	}
-	whole := c.replica.SnapshotAfter(0)
-	r, err := render(whole)
+	snapshot := c.replica.SnapshotAfter(0)
+	r, err := encodeSnapshot(snapshot)
 	if err == nil {
-		c.whole, c.at = r, whole.At
+		c.full, c.at = r, snapshot.At
 	}
 	return r, err
 }
 
-func render(c replica.Snapshot) (rendered, error) {
-	text, err := msgpack.Marshal(&c)
-	if err != nil || len(text) < compressFrom {
-		return rendered{text: text}, errors.Wrap(err, "entry: copy")
+func encodeSnapshot(c replica.Snapshot) (encodedSnapshot, error) {
+	data, err := msgpack.Marshal(&c)
+	if err != nil || len(data) < compressThreshold {
+		return encodedSnapshot{data: data}, errors.Wrap(err, "entry: encode snapshot")
 	}
-	var short bytes.Buffer
-	w, err := gzip.NewWriterLevel(&short, gzip.BestSpeed)
+	var compressed bytes.Buffer
+	w, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
 	if err != nil {
-		return rendered{}, errors.Wrap(err, "entry: copy")
+		return encodedSnapshot{}, errors.Wrap(err, "entry: encode snapshot")
 	}
-	if _, err := w.Write(text); err != nil {
-		return rendered{}, errors.Wrap(err, "entry: copy")
+	if _, err := w.Write(data); err != nil {
+		return encodedSnapshot{}, errors.Wrap(err, "entry: encode snapshot")
 	}
 	if err := w.Close(); err != nil {
-		return rendered{}, errors.Wrap(err, "entry: copy")
+		return encodedSnapshot{}, errors.Wrap(err, "entry: encode snapshot")
 	}
-	return rendered{text: short.Bytes(), compressed: true}, nil
+	return encodedSnapshot{data: compressed.Bytes(), compressed: true}, nil
 }
 
-// read decodes a copy.
-func (r rendered) read() (replica.Snapshot, error) {
+func (r encodedSnapshot) decode() (replica.Snapshot, error) {
 	var c replica.Snapshot
-	var from io.Reader = bytes.NewReader(r.text)
+	var from io.Reader = bytes.NewReader(r.data)
 	if r.compressed {
-		unzip, err := gzip.NewReader(from)
+		gz, err := gzip.NewReader(from)
 		if err != nil {
-			return c, errors.Wrap(err, "entry: copy")
+			return c, errors.Wrap(err, "entry: decode snapshot")
 		}
-		from = io.LimitReader(unzip, maxSnapshotBytes)
+		from = io.LimitReader(gz, maxSnapshotBytes)
 	}
-	return c, errors.Wrap(msgpack.NewDecoder(from).Decode(&c), "entry: copy")
+	return c, errors.Wrap(msgpack.NewDecoder(from).Decode(&c), "entry: decode snapshot")
 }
 
 var snapshotClient = &http.Client{Timeout: snapshotTimeout, Transport: &http.Transport{IdleConnTimeout: snapshotIdle, DisableCompression: true}}
 
-// fetchSnapshot reads what another VM's copy of the store has after a revision.
+// fetchSnapshot requests the changes after a revision from another VM.
 func fetchSnapshot(ctx context.Context, peer string, after store.Revision) (replica.Snapshot, error) {
 	target := "http://" + peer + snapshotPath + "?after=" + strconv.FormatUint(uint64(after), 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return replica.Snapshot{}, errors.Wrap(err, "entry: copy")
+		return replica.Snapshot{}, errors.Wrap(err, "entry: fetch snapshot")
 	}
 	resp, err := snapshotClient.Do(req)
 	if err != nil {
-		return replica.Snapshot{}, errors.Wrap(err, "entry: copy")
+		return replica.Snapshot{}, errors.Wrap(err, "entry: fetch snapshot")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return replica.Snapshot{}, errors.Errorf("entry: copy: status %d", resp.StatusCode)
+		return replica.Snapshot{}, errors.Errorf("entry: fetch snapshot: status %d", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxSnapshotBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxSnapshotBytes))
 	if err != nil {
-		return replica.Snapshot{}, errors.Wrap(err, "entry: copy")
+		return replica.Snapshot{}, errors.Wrap(err, "entry: fetch snapshot")
 	}
-	return rendered{text: text, compressed: resp.Header.Get("Content-Encoding") == gzipEncoding}.read()
+	return encodedSnapshot{data: data, compressed: resp.Header.Get("Content-Encoding") == gzipEncoding}.decode()
 }
--- a/edge/entry/snapshots_test.go
+++ b/edge/entry/snapshots_test.go
@@ -13,7 +13,7 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// items are n registrations of targets as the store has them.
+// items returns n registrations of targets.
 func items(n int) []store.Entry {
 	var all []store.Entry
 	for i := range n {
@@ -26,7 +26,7 @@
 	return all
 }
 
-func newCopies(entries []store.Entry, at store.Revision) *snapshots {
+func newSnapshots(entries []store.Entry, at store.Revision) *snapshots {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	m := replica.New(replica.Options{Logger: logrus.NewEntry(l), Changed: func([]replica.Change) {}})
@@ -34,24 +34,23 @@
 	return &snapshots{replica: m, log: logrus.NewEntry(l)}
 }
 
-// All VMs of a region lose their power and start at once. Each asks the one that has the
-// store's items for all of them: 100 snapshots of 3,000 targets were rendered side by side,
-// 0.9 MB each, and its memory grew fivefold. They are rendered once, and small.
-func TestAWholeCopyIsRenderedOnce(t *testing.T) {
+// Guards against memory exhaustion when many VMs request a full snapshot at once: it must be
+// encoded once per revision, and compressed.
+func TestFullSnapshotIsEncodedOncePerRevision(t *testing.T) {
 	entries := items(3000)
-	c := newCopies(entries, 5000)
-	first, err := c.render(0)
+	c := newSnapshots(entries, 5000)
+	first, err := c.encode(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(first.text) > 150_000 {
-		t.Errorf("%d bytes for 3,000 targets", len(first.text))
+	if len(first.data) > 150_000 {
+		t.Errorf("%d bytes for 3,000 targets", len(first.data))
 	}
-	second, err := c.render(0)
-	if err != nil || &second.text[0] != &first.text[0] {
-		t.Errorf("rendered again, error %v", err)
+	second, err := c.encode(0)
+	if err != nil || &second.data[0] != &first.data[0] {
+		t.Errorf("encoded again, error %v", err)
 	}
-	got, err := second.read()
+	got, err := second.decode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,40 +59,40 @@
 		t.Error(diff)
 	}
 	c.replica.Adopt(replica.Snapshot{At: 5001, After: 5000, Partial: true, Removed: []store.Entry{{Key: entries[0].Key, Revision: 5001}}})
-	third, err := c.render(0)
+	third, err := c.encode(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if newer, err := third.read(); err != nil || newer.At != 5001 || len(newer.Items) != 2999 {
+	if newer, err := third.decode(); err != nil || newer.At != 5001 || len(newer.Items) != 2999 {
 		t.Errorf("at %d with %d items, error %v, after a change", newer.At, len(newer.Items), err)
 	}
 }
 
-// A VM that is one change behind gets that change only, and it is read as it was sent.
-func TestACopyOfChangesIsRead(t *testing.T) {
-	c := newCopies(items(3000), 5000)
+// A VM that is one change behind must get only that change.
+func TestPartialSnapshotRoundTrip(t *testing.T) {
+	c := newSnapshots(items(3000), 5000)
 	changed := store.Entry{Key: "config", Revision: 5001, Value: []byte(`{"version":2}`)}
 	c.replica.Adopt(replica.Snapshot{At: 5001, After: 5000, Partial: true, Items: []store.Entry{changed}})
-	r, err := c.render(5000)
+	r, err := c.encode(5000)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := r.read()
+	got, err := r.decode()
 	want := replica.Snapshot{At: 5001, After: 5000, Partial: true, Items: []store.Entry{changed}}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Errorf("error %v: %s", err, diff)
 	}
-	if r.compressed || len(r.text) > 200 {
-		t.Errorf("%d bytes", len(r.text))
+	if r.compressed || len(r.data) > 200 {
+		t.Errorf("%d bytes", len(r.data))
 	}
 }
 
-// Something else answers at a peer's port. Nothing of it is taken in.
-func TestNonsenseIsNoCopy(t *testing.T) {
+// A response that is not a snapshot, for example from another program on the port, must be rejected.
+func TestInvalidSnapshotIsRejected(t *testing.T) {
 	for _, text := range []string{"", "{}", "<html>", "\xff\xff\xff\xff"} {
 		for _, compressed := range []bool{false, true} {
-			if c, err := (rendered{text: []byte(text), compressed: compressed}).read(); err == nil {
-				t.Errorf("%q read as %+v", text, c)
+			if c, err := (encodedSnapshot{data: []byte(text), compressed: compressed}).decode(); err == nil {
+				t.Errorf("%q decoded as %+v", text, c)
 			}
 		}
 	}
