--- a/edge/serve/body.go
+++ b/edge/serve/body.go
@@ -20,20 +20,20 @@
 		if expects != "100-continue" {
 			return errExpectation
 		}
-		_ = c.nc.SetWriteDeadline(time.Now().Add(writeTime))
+		_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.nc.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 			return err
 		}
 	}
 	_ = c.nc.SetReadDeadline(time.Now().Add(max(limits.IdleTime, limits.HeaderTime)))
 	if r.ContentLength >= 0 {
-		return c.readKnown(r, in)
+		return c.readFixedLength(r, in)
 	}
-	return c.readChunks(r, in, limits)
+	return c.readChunked(r, in, limits)
 }
 
-func (c *conn) readKnown(r *http.Request, in *incoming) error {
-	if !c.hold(in, r.ContentLength) {
+func (c *conn) readFixedLength(r *http.Request, in *incoming) error {
+	if !c.reserve(in, r.ContentLength) {
 		return errNoMemory
 	}
 	in.Body = make([]byte, r.ContentLength)
@@ -41,16 +41,16 @@
 	return err
 }
 
-// chunkStep is how much memory a body of unknown length reserves at once.
-const chunkStep = 64 << 10
+// chunkedReservation is the step in which memory is reserved for a body of unknown length.
+const chunkedReservation = 64 << 10
 
-func (c *conn) readChunks(r *http.Request, in *incoming, limits Limits) error {
+func (c *conn) readChunked(r *http.Request, in *incoming, limits Limits) error {
 	var body bytes.Buffer
 	for {
-		if !c.hold(in, chunkStep) {
+		if !c.reserve(in, chunkedReservation) {
 			return errNoMemory
 		}
-		_, err := io.CopyN(&body, r.Body, chunkStep)
+		_, err := io.CopyN(&body, r.Body, chunkedReservation)
 		if int64(body.Len()) > limits.BodyBytes {
 			return errBodyTooLong
 		}
@@ -62,24 +62,23 @@
 			if errors.Is(err, io.ErrUnexpectedEOF) || isTimeout(err) {
 				return err
 			}
-			return &badRequest{cause: err}
+			return &badRequestError{cause: err}
 		}
 	}
 }
 
-// hold reserves memory for a body.
-func (c *conn) hold(in *incoming, n int64) bool {
+func (c *conn) reserve(in *incoming, n int64) bool {
 	if m := c.server.options.Memory; m != nil && !m.Take(n) {
 		return false
 	}
-	in.held += n
+	in.reserved += n
 	return true
 }
 
-// drop frees what a request reserved.
-func (c *conn) drop(in *incoming) {
-	if m := c.server.options.Memory; m != nil && in.held > 0 {
-		m.Give(in.held)
+// release returns the memory reserved for a request's body.
+func (c *conn) release(in *incoming) {
+	if m := c.server.options.Memory; m != nil && in.reserved > 0 {
+		m.Give(in.reserved)
 	}
-	in.held = 0
+	in.reserved = 0
 }
--- a/edge/serve/conn.go
+++ b/edge/serve/conn.go
@@ -19,13 +19,12 @@
 )
 
 var (
-	errHeaderTooLong = errors.New("serve: header over the limit")
-	errBodyTooLong   = errors.New("serve: body over the limit")
-	errNoMemory      = errors.New("serve: no memory for the body")
-	errExpectation   = errors.New("serve: expectation not known")
+	errHeaderTooLong = errors.New("serve: header exceeds the limit")
+	errBodyTooLong   = errors.New("serve: body exceeds the limit")
+	errNoMemory      = errors.New("serve: out of memory for request bodies")
+	errExpectation   = errors.New("serve: unsupported expectation")
 )
 
-// conn is one caller's connection.
 type conn struct {
 	server *Server
 	nc     net.Conn
@@ -34,15 +33,15 @@
 	once   sync.Once
 
 	mu sync.Mutex
-	// inFlight counts requests taken whose answers are not wholly given.
+	// inFlight is the number of accepted requests without a complete response.
 	inFlight int
-	// closing tells that no further request is taken.
+	// closing is set when no further requests are accepted.
 	closing bool
 }
 
-// take counts a request in, unless the connection is closing: a request that was
-// not taken was not passed on, and its caller may send it again.
-func (c *conn) take() bool {
+// beginRequest accepts a request unless the connection is closing. A request that is not
+// accepted was not passed to the handler, so its caller may retry it.
+func (c *conn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing {
@@ -52,140 +51,139 @@
 	return true
 }
 
-func (c *conn) give() {
+func (c *conn) endRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight--
 }
 
-func (c *conn) hasWork() bool {
+func (c *conn) hasRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.inFlight > 0
 }
 
-// closeIfIdle closes the connection unless a request is in hand.
 func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	idle := c.inFlight == 0
 	c.closing = c.closing || idle
 	c.mu.Unlock()
 	if idle {
-		c.shut()
+		c.close()
 	}
 }
 
-// isLast decides whether an answer ends the connection. While requests wait
-// behind it the connection stays open: they were read, and their callers wait.
+// isLast reports whether a response closes the connection. It does not while pipelined
+// requests follow that were already read.
 func (c *conn) isLast(in *incoming) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !in.last && (!c.server.parting.Load() || c.inFlight > 1) {
+	if !in.last && (!c.server.closing.Load() || c.inFlight > 1) {
 		return false
 	}
 	c.closing = true
 	return true
 }
 
-// shut closes the connection; the requests in flight learn it by their context.
-func (c *conn) shut() {
+// close closes the connection and cancels the contexts of its requests.
+func (c *conn) close() {
 	c.once.Do(func() {
 		c.cancel()
 		_ = c.nc.Close()
 	})
 }
 
-// run reads requests until the connection ends. It goes on reading while
-// requests are worked on, so that a caller that leaves is seen at once.
+// run reads requests until the connection ends. It keeps reading while requests are
+// handled, so that a disconnect is noticed at once.
 func (c *conn) run(ctx context.Context) {
-	var working sync.WaitGroup
+	var handlers sync.WaitGroup
 	defer func() {
-		c.shut()
-		working.Wait()
+		c.close()
+		handlers.Wait()
 	}()
-	places := make(chan struct{}, maxAhead)
-	before := make(chan struct{})
-	close(before)
+	slots := make(chan struct{}, maxPipelined)
+	previousDone := make(chan struct{})
+	close(previousDone)
 	for {
 		r, err := c.read()
 		if err != nil {
-			c.refuse(ctx, err, before)
+			c.refuse(ctx, err, previousDone)
 			return
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
-			c.drop(r)
+			c.release(r)
 			return
 		}
-		if !c.take() {
-			c.drop(r)
+		if !c.beginRequest() {
+			c.release(r)
 			return
 		}
 		done := make(chan struct{})
-		c.server.busy.Add(1)
-		previous := before
-		working.Go(func() {
+		c.server.inFlight.Add(1)
+		previous := previousDone
+		handlers.Go(func() {
 			c.serve(ctx, r, previous)
 			close(done)
-			<-places
+			<-slots
 		})
-		before = done
+		previousDone = done
 		if r.last {
-			c.awaitEnd(ctx, before)
+			c.awaitClose(ctx, previousDone)
 			return
 		}
 	}
 }
 
-// awaitEnd watches for a caller that leaves while its last request is worked on.
-func (c *conn) awaitEnd(ctx context.Context, done <-chan struct{}) {
-	gone := make(chan struct{})
+// awaitClose watches for a disconnect while the last request is handled.
+func (c *conn) awaitClose(ctx context.Context, done <-chan struct{}) {
+	readable := make(chan struct{})
 	go func() {
 		_, _ = c.reader.Peek(1)
-		close(gone)
+		close(readable)
 	}()
 	select {
 	case <-done:
-		c.linger(gone)
-	case <-gone:
+		c.linger(readable)
+	case <-readable:
 		if c.reader.Buffered() > 0 {
-			// Bytes after the last request belong to nothing.
+			// Bytes after the last request are ignored.
 			<-done
 		}
 	case <-ctx.Done():
 	}
 }
 
-// lingerTime is how long the caller has to close after the last answer: to close
-// with bytes still under way resets the connection and may take the answer along.
-const lingerTime = 500 * time.Millisecond
+// lingerTimeout is how long the caller has to close after the last response: closing with
+// unread bytes resets the connection and may discard the response.
+const lingerTimeout = 500 * time.Millisecond
 
-func (c *conn) linger(gone <-chan struct{}) {
+func (c *conn) linger(readable <-chan struct{}) {
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	timer := time.NewTimer(lingerTime)
+	timer := time.NewTimer(lingerTimeout)
 	defer timer.Stop()
 	select {
-	case <-gone:
+	case <-readable:
 	case <-timer.C:
 	}
 }
 
-// incoming is a request with what belongs to its connection.
+// incoming is a request with the state that its connection keeps for it.
 type incoming struct {
 	*Request
-	// last tells that the caller closes after this request.
-	last bool
-	held int64
+	// last is set when the caller closes the connection after this request.
+	last     bool
+	reserved int64
 }
 
-// read returns the next request. Errors of the kind err... are answered, others
-// are the end of the connection.
+// read returns the next request. It returns one of the err variables or a badRequestError
+// for a request to refuse, and other errors for the end of the connection.
 func (c *conn) read() (*incoming, error) {
 	limits := c.server.options.Limits()
-	if err := c.awaitByte(limits.IdleTime); err != nil {
+	if err := c.awaitRequest(limits.IdleTime); err != nil {
 		return nil, err
 	}
 	began := time.Now()
@@ -199,29 +197,28 @@
 		Host: r.Host, Header: r.Header, Arrived: began,
 	}}
 	if err := c.readBody(r, in, limits); err != nil {
-		c.drop(in)
+		c.release(in)
 		return nil, err
 	}
 	_ = c.nc.SetReadDeadline(time.Time{})
 	return in, nil
 }
 
-// awaitByte returns when a request begins. A connection is not idle while answers
-// are still to come.
-func (c *conn) awaitByte(idle time.Duration) error {
+// awaitRequest waits for the first byte of a request. The idle timeout does not apply while
+// requests are in flight.
+func (c *conn) awaitRequest(idle time.Duration) error {
 	for {
 		_ = c.nc.SetReadDeadline(time.Now().Add(idle))
 		_, err := c.reader.Peek(1)
-		if err == nil || !isTimeout(err) || !c.hasWork() {
+		if err == nil || !isTimeout(err) || !c.hasRequests() {
 			return err
 		}
 	}
 }
 
-// readHead parses request line and fields. The limit holds for the head only: the
-// reader below it is the connection's own.
+// readHead parses the request line and header fields. Only their size is limited here.
 func (c *conn) readHead(limits Limits) (*http.Request, error) {
-	if err := c.checkHead(limits.HeaderBytes); err != nil {
+	if err := c.bufferHead(limits.HeaderBytes); err != nil {
 		return nil, err
 	}
 	r, err := http.ReadRequest(c.reader)
@@ -229,14 +226,13 @@
 		if isTimeout(err) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		return nil, &badRequest{cause: err}
+		return nil, &badRequestError{cause: err}
 	}
 	return r, nil
 }
 
-// checkHead makes room for a head that is longer than the connection's buffer, up
-// to the limit.
-func (c *conn) checkHead(limit int) error {
+// bufferHead reads the whole head into the buffer, which it grows up to the limit.
+func (c *conn) bufferHead(limit int) error {
 	for {
 		seen, _ := c.reader.Peek(c.reader.Buffered())
 		if bytes.Contains(seen, []byte("\r\n\r\n")) || bytes.Contains(seen, []byte("\n\n")) {
@@ -246,9 +242,9 @@
 			return errHeaderTooLong
 		}
 		if len(seen) == c.reader.Size() {
-			// What is buffered moves into a larger reader, in front of the rest.
+			// The larger reader starts with the bytes buffered so far.
 			rest := io.MultiReader(bytes.NewReader(bytes.Clone(seen)), c.nc)
-			c.reader = bufio.NewReaderSize(rest, min(2*c.reader.Size(), limit+readBuffer))
+			c.reader = bufio.NewReaderSize(rest, min(2*c.reader.Size(), limit+readBufferSize))
 		}
 		if _, err := c.reader.Peek(c.reader.Buffered() + 1); err != nil {
 			return err
@@ -256,65 +252,64 @@
 	}
 }
 
-// serve answers one request once the one before it is answered.
-func (c *conn) serve(ctx context.Context, in *incoming, before <-chan struct{}) {
+// serve handles one request and writes its response after the previous one's.
+func (c *conn) serve(ctx context.Context, in *incoming, previousDone <-chan struct{}) {
 	defer func() {
-		c.drop(in)
-		c.give()
-		c.server.busy.Add(-1)
+		c.release(in)
+		c.endRequest()
+		c.server.inFlight.Add(-1)
 	}()
-	answer := c.handle(ctx, in.Request)
-	<-before
-	if answer == nil {
-		c.shut()
+	response := c.handle(ctx, in.Request)
+	<-previousDone
+	if response == nil {
+		c.close()
 		return
 	}
 	last := c.isLast(in)
-	switch err := c.write(answer, last); {
+	switch err := c.write(response, last); {
 	case err != nil:
-		c.shut()
+		c.close()
 	case last && !in.last:
-		// A caller that asked for the end closes itself, see awaitEnd.
-		c.finish()
+		// A caller that asked for the close does so itself, see awaitClose.
+		c.closeGracefully()
 	}
 }
 
-// handle has the handler answer. A handler that panics fails its request only: the callers of
-// such a request repeat it, and it would end one VM after the other.
-func (c *conn) handle(ctx context.Context, r *Request) (answer *Response) {
+// handle calls the handler. A panic fails only its request: callers retry such requests
+// at other VMs and would otherwise crash one VM after another.
+func (c *conn) handle(ctx context.Context, r *Request) (response *Response) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			c.server.options.Logger.WithFields(logrus.Fields{"panic": cause, "stack": string(debug.Stack())}).
 				Error("serve: handler panicked")
 			info := result.InfoOf(result.Internal)
-			answer = PlainText(info.HTTP, info.Name+"\n")
-			answer.Header[result.HeaderResult] = []string{strconv.Itoa(int(info.Code))}
+			response = PlainText(info.HTTP, info.Name+"\n")
+			response.Header[result.HeaderResult] = []string{strconv.Itoa(int(info.Code))}
 		}
 	}()
 	return c.server.options.Handler(ctx, r)
 }
 
-// finish lets the caller read the last answer before the connection closes.
-func (c *conn) finish() {
+// closeGracefully lets the caller read the last response before the connection closes.
+func (c *conn) closeGracefully() {
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	time.AfterFunc(lingerTime, c.shut)
+	time.AfterFunc(lingerTimeout, c.close)
 }
 
-// answers holds buffers for answers.
-var answers = sync.Pool{New: func() any { return bytes.NewBuffer(make([]byte, 0, writeBuffer)) }}
+var writeBuffers = sync.Pool{New: func() any { return bytes.NewBuffer(make([]byte, 0, writeBufferSize)) }}
 
 func (c *conn) write(a *Response, last bool) error {
-	b := answers.Get().(*bytes.Buffer)
-	defer answers.Put(b)
+	b := writeBuffers.Get().(*bytes.Buffer)
+	defer writeBuffers.Put(b)
 	b.Reset()
 	a.encode(b, last)
-	_ = c.nc.SetWriteDeadline(time.Now().Add(writeTime))
-	pieces := net.Buffers{b.Bytes()}
+	_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	buffers := net.Buffers{b.Bytes()}
 	if len(a.Body) > 0 && !a.NoBody {
-		pieces = append(pieces, a.Body)
+		buffers = append(buffers, a.Body)
 	}
-	_, err := pieces.WriteTo(c.nc)
+	_, err := buffers.WriteTo(c.nc)
 	return err
 }
--- a/edge/serve/message.go
+++ b/edge/serve/message.go
@@ -10,47 +10,47 @@
 	"time"
 )
 
-// Request is one request of a caller with its whole body.
+// Request is an HTTP request with its complete body.
 type Request struct {
 	Method string
-	// Target is the request target as it came, path and query.
+	// Target is the raw request target, path and query.
 	Target string
 	Path   string
 	Query  url.Values
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Arrived is when the request's first byte was there.
+	// Arrived is the time of the request's first byte.
 	Arrived time.Time
 }
 
-// Response is what a caller gets.
+// Response is an HTTP response with its complete body.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// NoBody tells that an answer of this kind has none; Length is then what its
-	// Content-Length says, "" for none.
+	// NoBody is set for responses that have no body by definition; ContentLength is then
+	// the value of that field, "" for none.
 	NoBody        bool
 	ContentLength string
 }
 
-// notPassedOn are the fields of an answer that concern one connection only.
-var notPassedOn = map[string]bool{
+// hopByHop are the response fields that are not forwarded.
+var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Transfer-Encoding": true, "Content-Length": true,
 	"Trailer": true, "Upgrade": true, "Proxy-Connection": true, "Te": true,
 }
 
-// encode renders an answer.
+// encode writes the status line and header fields.
 func (a *Response) encode(b *bytes.Buffer, last bool) {
 	b.WriteString("HTTP/1.1 ")
 	b.WriteString(strconv.Itoa(a.Status))
 	b.WriteByte(' ')
 	b.WriteString(http.StatusText(a.Status))
 	b.WriteString("\r\n")
-	named := connectionFields(a.Header)
+	connectionNamed := connectionFields(a.Header)
 	for name, values := range a.Header {
-		if notPassedOn[name] || named[name] {
+		if hopByHop[name] || connectionNamed[name] {
 			continue
 		}
 		for _, value := range values {
@@ -70,7 +70,7 @@
 	b.WriteString("\r\n")
 }
 
-// connectionFields are the fields that the Connection field names.
+// connectionFields returns the fields that the Connection field names.
 func connectionFields(h http.Header) map[string]bool {
 	if len(h["Connection"]) == 0 {
 		return nil
@@ -91,7 +91,7 @@
 	b.WriteString("\r\n")
 }
 
-// PlainText is an answer of the system's own.
+// PlainText returns a response with a text body.
 func PlainText(status int, text string) *Response {
 	a := &Response{Status: status, Header: make(http.Header, 2)}
 	if text != "" {
@@ -101,7 +101,7 @@
 	return a
 }
 
-// JSON is an answer with a JSON body.
+// JSON returns a response with a JSON body.
 func JSON(status int, body []byte) *Response {
 	return &Response{Status: status, Header: http.Header{"Content-Type": {"application/json"}}, Body: body}
 }
--- a/edge/serve/refuse.go
+++ b/edge/serve/refuse.go
@@ -10,20 +10,20 @@
 	"github.com/pkg/errors"
 )
 
-// badRequest is a request that is not HTTP/1.1.
-type badRequest struct{ cause error }
+// badRequestError is a request that is not valid HTTP/1.1.
+type badRequestError struct{ cause error }
 
-func (e *badRequest) Error() string { return "serve: malformed request: " + e.cause.Error() }
+func (e *badRequestError) Error() string { return "serve: malformed request: " + e.cause.Error() }
 
-// refuse answers a request that cannot be read whole, if there was one.
-func (c *conn) refuse(ctx context.Context, err error, before <-chan struct{}) {
+// refuse writes an error response if the error is one of a request.
+func (c *conn) refuse(ctx context.Context, err error, previousDone <-chan struct{}) {
 	status := statusOf(err)
 	if status == 0 {
 		return
 	}
 	c.server.options.Logger.WithError(err).WithField("status", status).Info("serve: request refused")
 	select {
-	case <-before:
+	case <-previousDone:
 	case <-ctx.Done():
 		return
 	}
@@ -36,19 +36,19 @@
 	}
 }
 
-// drainInput reads on for a while: to close with unread bytes resets the
-// connection, and the caller might lose the answer.
+// drainInput reads and discards for a while: closing with unread bytes resets the
+// connection, and the caller might lose the response.
 func (c *conn) drainInput() {
 	if tcp, ok := c.nc.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()
 	}
-	_ = c.nc.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, c.reader)
 }
 
-// statusOf is the answer to a request that could not be read, 0 for none.
+// statusOf returns the status for a request that could not be read, 0 for no response.
 func statusOf(err error) int {
-	var bad *badRequest
+	var bad *badRequestError
 	switch {
 	case errors.Is(err, errHeaderTooLong):
 		return http.StatusRequestHeaderFieldsTooLarge
--- a/edge/serve/server.go
+++ b/edge/serve/server.go
@@ -1,6 +1,5 @@
-// Package serve is an HTTP/1.1 server whose connections take several requests at
-// once: a caller may send requests ahead, they are worked on together and answered
-// in their order. The standard library parses, each request has a goroutine.
+// Package serve is an HTTP/1.1 server that handles pipelined requests concurrently and
+// writes their responses in order. net/http parses; each request has a goroutine.
 package serve
 
 import (
@@ -16,19 +15,18 @@
 )
 
 const (
-	// readBuffer and writeBuffer of one connection, in bytes.
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
-	// maxAhead bounds the requests of one connection that are worked on.
-	maxAhead = 16
-	// writeTime bounds how long a caller may take to read an answer.
-	writeTime = 15 * time.Second
-	// acceptPause is the time between two tries after a failure, most likely for
-	// want of descriptors.
-	acceptPause = 10 * time.Millisecond
+	// readBufferSize and writeBufferSize are per connection, in bytes.
+	readBufferSize  = 4 << 10
+	writeBufferSize = 4 << 10
+	// maxPipelined limits the concurrent requests of one connection.
+	maxPipelined = 16
+	// writeTimeout limits how long a caller may take to read a response.
+	writeTimeout = 15 * time.Second
+	// acceptRetryDelay is the pause after a failed accept, usually for lack of file descriptors.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Limits bound what callers may send.
+// Limits restrict the requests of callers.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -36,8 +34,8 @@
 	IdleTime    time.Duration
 }
 
-// Handler answers requests. The context ends when the caller goes away. A nil
-// answer closes the connection.
+// Handler handles requests. The context is cancelled when the caller disconnects. A nil
+// response closes the connection.
 type Handler func(ctx context.Context, r *Request) *Response
 
 // Options configure a Server.
@@ -47,25 +45,25 @@
 	Handler Handler
 	// Limits returns the limits in force.
 	Limits func() Limits
-	// Memory bounds the request bodies held in sum; nil does not bound them.
+	// Memory limits the total size of buffered request bodies; nil means no limit.
 	Memory Memory
 	Logger *logrus.Entry
-	// MaxConnections bounds the open connections; 0 does not.
+	// MaxConnections limits the open connections; 0 means no limit.
 	MaxConnections int
 }
 
-// Memory is a bound on buffered bytes.
+// Memory is a limit on buffered bytes.
 type Memory interface {
 	Take(bytes int64) bool
 	Give(bytes int64)
 }
 
-// Server is a running server.
+// Server is an HTTP/1.1 server on one address.
 type Server struct {
 	options  Options
 	listener net.Listener
-	parting  atomic.Bool
-	busy     atomic.Int64
+	closing  atomic.Bool
+	inFlight atomic.Int64
 	open     atomic.Int64
 
 	mu    sync.Mutex
@@ -87,16 +85,16 @@
 // Address returns the ip:port in use.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// InFlight returns the requests whose answers are not wholly given.
-func (s *Server) InFlight() int { return int(s.busy.Load()) }
+// InFlight returns the number of requests without a complete response.
+func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// DisableKeepAlives ends each connection with its next answer.
-func (s *Server) DisableKeepAlives() { s.parting.Store(true) }
+// DisableKeepAlives closes each connection after its requests in flight.
+func (s *Server) DisableKeepAlives() { s.closing.Store(true) }
 
-// StopListening takes no more connections.
+// StopListening stops accepting connections.
 func (s *Server) StopListening() { _ = s.listener.Close() }
 
-// CloseIdle closes the connections that have no request in flight.
+// CloseIdle closes the connections without requests in flight.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +109,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.shut()
+		c.close()
 	}
 }
 
@@ -123,7 +121,7 @@
 		}
 		if err != nil {
 			s.options.Logger.WithError(err).Warn("serve: accept failed")
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if limit := s.options.MaxConnections; limit > 0 && s.open.Load() >= int64(limit) {
@@ -136,7 +134,7 @@
 
 func (s *Server) start(nc net.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &conn{server: s, nc: nc, cancel: cancel, reader: bufio.NewReaderSize(nc, readBuffer)}
+	c := &conn{server: s, nc: nc, cancel: cancel, reader: bufio.NewReaderSize(nc, readBufferSize)}
 	s.open.Add(1)
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
--- a/edge/serve/server_test.go
+++ b/edge/serve/server_test.go
@@ -33,7 +33,6 @@
 	return s
 }
 
-// caller is one connection to the server.
 type caller struct {
 	t *testing.T
 	net.Conn
@@ -50,14 +49,14 @@
 	return &caller{t: t, Conn: c, reader: bufio.NewReader(c)}
 }
 
-func (c *caller) say(text string) {
+func (c *caller) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *caller) hear() (status int, body string, last bool) {
+func (c *caller) receive() (status int, body string, last bool) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -72,9 +71,8 @@
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
-// A caller sends three requests ahead, and the first one takes longest. All are worked
-// on at once, and the answers come in the order of the requests.
-func TestRequestsSentAheadAreWorkedOnTogether(t *testing.T) {
+// Pipelined requests must run concurrently, and their responses must come in order.
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	var started sync.WaitGroup
 	started.Add(3)
 	s := start(t, func(_ context.Context, r *Request) *Response {
@@ -83,17 +81,16 @@
 		return PlainText(http.StatusOK, r.Path)
 	})
 	c := dial(t, s)
-	c.say(get("/1") + get("/2") + get("/3"))
+	c.send(get("/1") + get("/2") + get("/3"))
 	for _, want := range []string{"/1", "/2", "/3"} {
-		if status, body, _ := c.hear(); status != http.StatusOK || body != want {
+		if status, body, _ := c.receive(); status != http.StatusOK || body != want {
 			t.Fatalf("%d %q, want %q", status, body, want)
 		}
 	}
 }
 
-// A caller leaves while its request is worked on. The handler must learn it at once, or
-// a target works for nobody.
-func TestCallerThatLeavesIsSeen(t *testing.T) {
+// A disconnect must cancel the handler's context at once.
+func TestCallerDisconnectCancelsContext(t *testing.T) {
 	left, begun := make(chan struct{}), make(chan struct{})
 	s := start(t, func(ctx context.Context, _ *Request) *Response {
 		close(begun)
@@ -102,7 +99,7 @@
 		return nil
 	})
 	c := dial(t, s)
-	c.say(get("/"))
+	c.send(get("/"))
 	<-begun
 	c.Close()
 	<-left
@@ -114,27 +111,27 @@
 	})
 	c := dial(t, s)
 	body := strings.Repeat("x", 100<<10)
-	c.say(fmt.Sprintf("POST /a?b=%%20 HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-	if _, got, _ := c.hear(); got != fmt.Sprintf("POST /a?b=%%20 %d", len(body)) {
+	c.send(fmt.Sprintf("POST /a?b=%%20 HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	if _, got, _ := c.receive(); got != fmt.Sprintf("POST /a?b=%%20 %d", len(body)) {
 		t.Errorf("known length: %q", got)
 	}
-	c.say("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3\r\nyou\r\n0\r\n\r\n")
-	if _, got, _ := c.hear(); got != "POST /c 8" {
+	c.send("POST /c HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n3\r\nyou\r\n0\r\n\r\n")
+	if _, got, _ := c.receive(); got != "POST /c 8" {
 		t.Errorf("chunks: %q", got)
 	}
-	c.say("PUT /e HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
+	c.send("PUT /e HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n")
 	if line, err := c.reader.ReadString('\n'); err != nil || line != "HTTP/1.1 100 Continue\r\n" {
 		t.Fatalf("%q, %v", line, err)
 	}
 	_, _ = c.reader.ReadString('\n')
-	c.say("ok")
-	if _, got, _ := c.hear(); got != "PUT /e 2" {
-		t.Errorf("after an invitation: %q", got)
+	c.send("ok")
+	if _, got, _ := c.receive(); got != "PUT /e 2" {
+		t.Errorf("after 100 Continue: %q", got)
 	}
 }
 
-// What is not HTTP, or over a limit, is refused with the reason, and no handler sees it.
-func TestRefusals(t *testing.T) {
+// Malformed requests and those over a limit must be refused without a call of the handler.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	s := start(t, func(context.Context, *Request) *Response {
 		t.Error("a handler ran")
 		return nil
@@ -155,31 +152,29 @@
 		t.Run(what, func(t *testing.T) {
 			conn := dial(t, s)
 			go func() { _, _ = io.WriteString(conn.Conn, c.text) }()
-			if status, _, last := conn.hear(); status != c.want || !last {
+			if status, _, last := conn.receive(); status != c.want || !last {
 				t.Errorf("%d, last %v, want %d", status, last, c.want)
 			}
 		})
 	}
 }
 
-// The head is longer than the connection's buffer but within the limit.
-func TestLongHeadWithinTheLimit(t *testing.T) {
+func TestHeadLongerThanBuffer(t *testing.T) {
 	s := start(t, func(_ context.Context, r *Request) *Response {
 		return PlainText(http.StatusOK, fmt.Sprint(len(r.Header.Get("X")), " ", len(r.Body)))
 	})
 	c := dial(t, s)
-	c.say("POST / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("y", 7<<10) + "\r\nContent-Length: 3\r\n\r\nabc" + get("/"))
-	if status, body, _ := c.hear(); status != 200 || body != "7168 3" {
+	c.send("POST / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("y", 7<<10) + "\r\nContent-Length: 3\r\n\r\nabc" + get("/"))
+	if status, body, _ := c.receive(); status != 200 || body != "7168 3" {
 		t.Fatalf("%d %q", status, body)
 	}
-	if status, _, _ := c.hear(); status != 200 {
-		t.Fatalf("%d for the request behind it", status)
+	if status, _, _ := c.receive(); status != 200 {
+		t.Fatalf("%d for the following request", status)
 	}
 }
 
-// The VM stops as planned. A caller with requests under way gets all answers, the last
-// one with the end of the connection; what it sends after that is not worked on.
-func TestPartingAnswersAllThatWasRead(t *testing.T) {
+// A graceful shutdown must answer all requests that were read and handle no later ones.
+func TestDisableKeepAlivesCompletesRequests(t *testing.T) {
 	release := make(chan struct{})
 	var worked sync.Map
 	s := start(t, func(_ context.Context, r *Request) *Response {
@@ -188,34 +183,33 @@
 		return PlainText(http.StatusOK, r.Path)
 	})
 	c := dial(t, s)
-	c.say(get("/1") + get("/2"))
+	c.send(get("/1") + get("/2"))
 	for s.InFlight() < 2 {
 		runtime.Gosched()
 	}
 	s.DisableKeepAlives()
 	s.CloseIdle()
 	close(release)
-	if _, body, last := c.hear(); body != "/1" || last {
+	if _, body, last := c.receive(); body != "/1" || last {
 		t.Fatalf("%q, last %v", body, last)
 	}
-	if _, body, last := c.hear(); body != "/2" || !last {
+	if _, body, last := c.receive(); body != "/2" || !last {
 		t.Fatalf("%q, last %v", body, last)
 	}
 	_, _ = io.WriteString(c.Conn, get("/3"))
 	if rest, _ := io.ReadAll(c.reader); len(rest) > 0 {
-		t.Errorf("after the last answer: %q", rest)
+		t.Errorf("after the last response: %q", rest)
 	}
 	if _, ok := worked.Load("/3"); ok {
-		t.Error("a request was worked on whose answer cannot be given")
+		t.Error("a request was handled after the last response")
 	}
 }
 
-// A caller asks for the end of the connection with its request.
-func TestCallerEndsTheConnection(t *testing.T) {
+func TestConnectionClose(t *testing.T) {
 	s := start(t, func(context.Context, *Request) *Response { return PlainText(http.StatusOK, "done") })
 	c := dial(t, s)
-	c.say("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
-	if _, body, last := c.hear(); body != "done" || !last {
+	c.send("GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")
+	if _, body, last := c.receive(); body != "done" || !last {
 		t.Fatalf("%q, last %v", body, last)
 	}
 	if rest, err := io.ReadAll(c.reader); err != nil || len(rest) > 0 {
@@ -223,9 +217,8 @@
 	}
 }
 
-// Fields that concern one connection only are not passed on, nor a length that is not
-// the body's.
-func TestAnswerFields(t *testing.T) {
+// Hop-by-hop fields and a wrong Content-Length must not be forwarded.
+func TestHopByHopFieldsAreDropped(t *testing.T) {
 	var b bytes.Buffer
 	a := &Response{Status: 200, Body: []byte("abc"), Header: http.Header{
 		"Connection": {"X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=3"}, "Content-Length": {"99"},
@@ -243,9 +236,8 @@
 	}
 }
 
-// Guards against a request that ends each VM that works on it, one after the other: a fault in
-// the code that handles it must not end the process.
-func TestHandlerThatPanicsEndsOnlyItsRequest(t *testing.T) {
+// A panic in a handler must not end the process.
+func TestHandlerPanicFailsOnlyItsRequest(t *testing.T) {
 	s := start(t, func(_ context.Context, r *Request) *Response {
 		if r.Path == "/bad" {
 			panic("no such thing")
@@ -253,11 +245,11 @@
 		return PlainText(http.StatusOK, "fine")
 	})
 	c := dial(t, s)
-	c.say(get("/bad") + get("/good"))
-	if status, body, _ := c.hear(); status != http.StatusInternalServerError || body != "internal\n" {
+	c.send(get("/bad") + get("/good"))
+	if status, body, _ := c.receive(); status != http.StatusInternalServerError || body != "internal\n" {
 		t.Errorf("%d %q for the request that panics", status, body)
 	}
-	if status, body, _ := c.hear(); status != http.StatusOK || body != "fine" {
-		t.Errorf("%d %q for the request behind it", status, body)
+	if status, body, _ := c.receive(); status != http.StatusOK || body != "fine" {
+		t.Errorf("%d %q for the following request", status, body)
 	}
 }
