--- a/edge/catalog/catalog.go
+++ b/edge/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog turns the store's items into what an entry VM believes:
+// Package catalog decodes the store's items into the state that an entry VM works with:
 // configuration, evacuated failure domains, targets and entry VMs.
 package catalog
 
@@ -17,12 +17,12 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// missingFor is how long a target stays in use whose registration was found
-// missing after the store was away: the store drops registrations while it is
-// away, and those of live targets are back within two seconds of its return.
-const missingFor = 2 * time.Second
+// missingTimeout is how long a target stays in use after a store outage without its
+// registration. The store drops registrations during an outage; live targets register
+// again within this time.
+const missingTimeout = 2 * time.Second
 
-// Codec tells the keys apart and decodes their values.
+// Codec classifies keys and decodes their values.
 type Codec interface {
 	IsConfig(key string) bool
 	Config(value []byte) (*site.Config, error)
@@ -32,21 +32,21 @@
 	IsVM(key string) bool
 }
 
-// Target is a registered target with the time at which its state was learnt.
+// Target is a registered target with the times of its registration.
 type Target struct {
 	site.Target
-	// ReceivedAt is when the registration came, from which ColdFor counts.
+	// ReceivedAt is when the registration was received; ColdFor counts from it.
 	ReceivedAt time.Time
 	// MissingSince is set while the registration is missing after an outage.
 	MissingSince time.Time
 }
 
-// View is what is believed at one time. It is immutable.
+// View is an immutable snapshot of the catalog.
 type View struct {
-	// Config is nil until one is known.
+	// Config is nil before the first configuration.
 	Config    *site.Config
 	Evacuated map[string]bool
-	// Targets are sorted by id, VMs by name.
+	// Targets are sorted by ID, VMs by name.
 	Targets []Target
 	VMs     []site.VM
 }
@@ -60,7 +60,7 @@
 	Now     func() time.Time
 }
 
-// Catalog is safe for use by several goroutines.
+// Catalog holds the decoded items. It is safe for concurrent use.
 type Catalog struct {
 	options Options
 	view    atomic.Pointer[View]
@@ -70,15 +70,15 @@
 	evacuated map[string]bool
 	targets   map[string]Target
 	vms       map[string]site.VM
-	// incarnations and foreign outlive the entries.
+	// incarnations and invalidKeys outlive the registrations.
 	incarnations incarnations
-	foreign      recentKeys
-	// unknownKinds are the kinds of routes that were logged.
-	unknownKinds recentKeys
-	// newest is the highest revision of an item taken in.
-	newest store.Revision
-	// news is what the changes that are being taken in say of targets.
-	news targetNews
+	invalidKeys  loggedNames
+	// loggedKinds are the unknown route kinds that were logged.
+	loggedKinds loggedNames
+	// revision is the highest revision applied.
+	revision store.Revision
+	// changes are the target changes since the last log line.
+	changes targetChanges
 }
 
 // New returns an empty catalog.
@@ -89,10 +89,10 @@
 		targets:      make(map[string]Target),
 		vms:          make(map[string]site.VM),
 		incarnations: make(incarnations),
-		foreign:      make(recentKeys),
+		invalidKeys:  make(loggedNames),
 
-		unknownKinds: make(recentKeys),
-		news:         make(targetNews),
+		loggedKinds: make(loggedNames),
+		changes:     make(targetChanges),
 	}
 	c.view.Store(&View{})
 	return c
@@ -101,36 +101,36 @@
 // View returns the current view.
 func (c *Catalog) View() *View { return c.view.Load() }
 
-// Apply takes changes of the store's items in.
+// Apply applies changes of the store.
 func (c *Catalog) Apply(changes []replica.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range changes {
-		c.newest = max(c.newest, change.Entry.Revision)
+		c.revision = max(c.revision, change.Entry.Revision)
 		if err := c.applyOne(change); err != nil {
 			c.options.Logger.WithError(err).WithFields(logrus.Fields{
 				"key": change.Entry.Key, "revision": change.Entry.Revision,
-			}).Error("catalog: item not understood, the last one stays in force")
+			}).Error("catalog: invalid item ignored, the previous one stays in force")
 		}
 	}
-	c.news.log(c.options.Logger, len(c.targets), c.newest)
+	c.changes.log(c.options.Logger, len(c.targets), c.revision)
 	c.publish()
 }
 
-// Expire drops targets that stayed missing for too long.
+// Expire drops targets that have been missing for missingTimeout.
 func (c *Catalog) Expire(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	gone := 0
+	expired := 0
 	for id, t := range c.targets {
-		if !t.MissingSince.IsZero() && now.Sub(t.MissingSince) >= missingFor {
+		if !t.MissingSince.IsZero() && now.Sub(t.MissingSince) >= missingTimeout {
 			delete(c.targets, id)
-			gone++
-			c.news.add(newsNotBack, t.ID)
+			expired++
+			c.changes.add(changeExpired, t.ID)
 		}
 	}
-	if gone > 0 {
-		c.news.log(c.options.Logger, len(c.targets), c.newest)
+	if expired > 0 {
+		c.changes.log(c.options.Logger, len(c.targets), c.revision)
 		c.publish()
 	}
 }
@@ -178,15 +178,15 @@
 	return nil
 }
 
-// logUnknownKinds tells once of each kind of route that this program does not know.
-// Requests of such routes are never sent again, which operators should be told.
+// logUnknownKinds logs each unknown route kind once: its requests are never retried, which
+// operators may not expect.
 func (c *Catalog) logUnknownKinds(config *site.Config) {
 	for _, r := range config.Routes {
-		if r.UnknownKind == "" || !c.unknownKinds.note(r.UnknownKind) {
+		if r.UnknownKind == "" || !c.loggedKinds.shouldLog(r.UnknownKind) {
 			continue
 		}
 		c.options.Logger.WithFields(logrus.Fields{"kind": r.UnknownKind, "route": r.Name, "version": config.Version}).
-			Warn("catalog: kind of route not known, its requests run at most once")
+			Warn("catalog: unknown route kind, its requests are never retried")
 	}
 }
 
@@ -198,13 +198,13 @@
 	}
 	var vm site.VM
 	if err := json.Unmarshal(change.Entry.Value, &vm); err != nil {
-		return errors.Wrap(err, "catalog: entry VM")
+		return errors.Wrap(err, "catalog: decode entry VM")
 	}
 	c.vms[key] = vm
 	return nil
 }
 
-// publish is called with the lock held.
+// publish must be called with the lock held.
 func (c *Catalog) publish() {
 	v := &View{Config: c.config, Evacuated: make(map[string]bool, len(c.evacuated))}
 	for zone := range c.evacuated {
--- a/edge/catalog/catalog_test.go
+++ b/edge/catalog/catalog_test.go
@@ -18,10 +18,8 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// A VM starts with hundreds of targets listed. Its log has one line for them, not one
-// each, so that the lines of its first requests are found; a target that leaves has its
-// own line.
-func TestAFirstCopyIsOneLine(t *testing.T) {
+// Targets that arrive together must be logged in one line, not in one each.
+func TestInitialTargetsAreLoggedInOneLine(t *testing.T) {
 	f := newFixture()
 	logger, hook := test.NewNullLogger()
 	f.options.Logger = logrus.NewEntry(logger)
@@ -45,7 +43,7 @@
 	}
 }
 
-// codec reads values that are plain words.
+// codec decodes values that are plain words.
 type codec struct{}
 
 func (codec) IsConfig(key string) bool { return key == "config" }
@@ -107,15 +105,15 @@
 	return ids
 }
 
-// The store was away and dropped all registrations, though the targets live. Without
-// patience every request would be refused until the targets have registered anew.
-func TestTargetsOutliveAnOutageOfTheStore(t *testing.T) {
+// Live targets whose registrations a store outage dropped must stay in use until they
+// register again.
+func TestTargetsSurviveStoreOutage(t *testing.T) {
 	f := newFixture()
 	f.put("target/a", "ready")
 	f.put("target/b", "ready")
 	f.remove("target/a", true)
 	f.remove("target/b", true)
-	f.now = f.now.Add(missingFor - time.Millisecond)
+	f.now = f.now.Add(missingTimeout - time.Millisecond)
 	f.Expire(f.now)
 	if len(f.targets()) != 2 {
 		t.Fatalf("targets %v just after the outage", f.targets())
@@ -128,8 +126,8 @@
 	}
 }
 
-// A target leaves: it gets nothing from the moment on at which that is known.
-func TestRemovedTargetIsGoneAtOnce(t *testing.T) {
+// A target that deregisters must get no further requests.
+func TestRemovedTargetIsDroppedAtOnce(t *testing.T) {
 	f := newFixture()
 	f.put("target/a", "ready")
 	f.remove("target/a", false)
@@ -140,9 +138,8 @@
 	}
 }
 
-// Operators write what this program does not understand. The last configuration
-// stays in force.
-func TestBadConfigurationChangesNothing(t *testing.T) {
+// An invalid or removed configuration must not replace the last valid one.
+func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	f := newFixture()
 	f.put("config", "good")
 	f.put("config", "bad")
--- a/edge/catalog/target.go
+++ b/edge/catalog/target.go
@@ -7,32 +7,34 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// maxNoted bounds the keys that are remembered after their entries are gone.
-const maxNoted = 4096
+// maxRemembered limits each set of remembered keys or names.
+const maxRemembered = 4096
 
-// incarnations are the newest known starts of targets, by key. They outlive the entries: the
-// registration of an earlier start may be written after the later one has left.
+// incarnations are the latest known start times of targets, by key. They outlive the
+// registrations, because one of an earlier start may arrive after the later target left.
 type incarnations map[string]int64
 
-// isOld reports whether a registration is of an earlier start than the newest known.
-func (i incarnations) isOld(key string, t site.Target) bool { return t.Born > 0 && t.Born < i[key] }
+// isStale reports whether a registration is of an earlier start than the latest known.
+func (i incarnations) isStale(key string, t site.Target) bool { return t.Born > 0 && t.Born < i[key] }
 
-// missing reports whether a registration says no start though an earlier one did.
-func (i incarnations) missing(key string, t site.Target) bool { return t.Born == 0 && i[key] > 0 }
+// lacksIncarnation reports whether a registration has no start time though earlier ones had.
+func (i incarnations) lacksIncarnation(key string, t site.Target) bool {
+	return t.Born == 0 && i[key] > 0
+}
 
-func (i incarnations) note(key string, born int64) {
-	if _, known := i[key]; born > 0 && (known || len(i) < maxNoted) {
+func (i incarnations) record(key string, born int64) {
+	if _, known := i[key]; born > 0 && (known || len(i) < maxRemembered) {
 		i[key] = born
 	}
 }
 
-// recentKeys are names that were logged.
-type recentKeys map[string]struct{}
+// loggedNames are names that were already logged.
+type loggedNames map[string]struct{}
 
-// note reports whether a name is to be logged now. It returns false for the names beyond
-// maxNoted: what others write must not fill the log.
-func (n recentKeys) note(name string) bool {
-	if _, known := n[name]; known || len(n) >= maxNoted {
+// shouldLog reports whether a name is new, and remembers it. It returns false beyond
+// maxRemembered names, so that foreign writes cannot flood the log.
+func (n loggedNames) shouldLog(name string) bool {
+	if _, known := n[name]; known || len(n) >= maxRemembered {
 		return false
 	}
 	n[name] = struct{}{}
@@ -46,45 +48,42 @@
 	}
 	key := change.Entry.Key
 	t, err := c.options.Codec.Target(key, change.Entry.Value)
-	if err != nil || c.incarnations.missing(key, t) {
-		c.applyForeign(change, err)
+	if err != nil || c.incarnations.lacksIncarnation(key, t) {
+		c.applyInvalidTarget(change, err)
 		return
 	}
-	if c.incarnations.isOld(key, t) {
-		c.news.add(newsOldStart, t.ID)
+	if c.incarnations.isStale(key, t) {
+		c.changes.add(changeStale, t.ID)
 		return
 	}
-	delete(c.foreign, key)
+	delete(c.invalidKeys, key)
 	old, known := c.targets[key]
 	c.targets[key] = Target{Target: t, ReceivedAt: c.options.Now()}
-	c.incarnations.note(key, t.Born)
+	c.incarnations.record(key, t.Born)
 	switch {
 	case !known && !t.Draining:
-		c.news.add(newsNew, t.ID)
+		c.changes.add(changeNew, t.ID)
 	case known && old.Born != t.Born:
-		c.news.add(newsRestarted, t.ID)
+		c.changes.add(changeRestarted, t.ID)
 	case t.Draining && !old.Draining:
-		c.news.add(newsDraining, t.ID)
+		c.changes.add(changeDraining, t.ID)
 	case old.Draining && !t.Draining:
-		c.news.add(newsReady, t.ID)
+		c.changes.add(changeReady, t.ID)
 	}
 }
 
-// applyForeign takes a target out of use whose registration another writer replaced.
-//
-// Guard against entries that no target wrote: with the last registration left in force a
-// target that has ended goes on getting requests, which fail until its address answers for
-// another service. The guard holds because a live target writes its registration again
-// within a heartbeat; until then it is listed as draining, and what was learnt of it is kept.
-func (c *Catalog) applyForeign(change replica.Change, err error) {
+// applyInvalidTarget handles a registration overwritten with an invalid value. The target is
+// marked as draining, because it may have ended and its address may now belong to another
+// service. A live target registers again at its next heartbeat.
+func (c *Catalog) applyInvalidTarget(change replica.Change, err error) {
 	key := change.Entry.Key
 	if known, ok := c.targets[key]; ok {
 		known.Draining = true
 		c.targets[key] = known
 	}
-	if c.foreign.note(key) {
+	if c.invalidKeys.shouldLog(key) {
 		c.options.Logger.WithError(err).WithFields(logrus.Fields{"key": key, "revision": change.Entry.Revision}).
-			Warn("catalog: entry is no registration, it names no target to use")
+			Warn("catalog: invalid target registration, target gets no new requests")
 	}
 }
 
@@ -95,10 +94,10 @@
 	}
 	if !change.Listed || t.Draining {
 		delete(c.targets, change.Entry.Key)
-		c.news.add(newsGone, t.ID)
+		c.changes.add(changeRemoved, t.ID)
 		return
 	}
 	t.MissingSince = c.options.Now()
 	c.targets[change.Entry.Key] = t
-	c.news.add(newsMissing, t.ID)
+	c.changes.add(changeMissing, t.ID)
 }
--- a/edge/catalog/target_test.go
+++ b/edge/catalog/target_test.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// watchLog replaces the log of a fixture by one that can be read.
+// watchLog replaces the fixture's log with one that can be inspected.
 func (f *fixture) watchLog() *test.Hook {
 	logger, hook := test.NewNullLogger()
 	f.options.Logger = logrus.NewEntry(logger)
@@ -25,9 +25,9 @@
 	return n
 }
 
-// A target starts again under its id. The registration of the start before arrives late
-// and must not bring that one back: it would name an address that nobody listens on.
-func TestOlderStartDoesNotComeBack(t *testing.T) {
+// A late registration of an earlier start must not replace a newer one or revive a removed
+// target, as nobody listens on its address any more.
+func TestStaleRegistrationIsIgnored(t *testing.T) {
 	f := newFixture()
 	f.put("target/a", "ready 100")
 	f.put("target/a", "ready 200")
@@ -38,14 +38,13 @@
 	f.remove("target/a", false)
 	f.put("target/a", "ready 100")
 	if got := f.targets(); len(got) != 0 {
-		t.Fatalf("targets %v after the later start has left", got)
+		t.Fatalf("targets %v after the later start was removed", got)
 	}
 }
 
-// Another writer replaces the entry of one target. Requests must not be sent there on the
-// word of the entry before, those of the others go on, and the log has one line of it
-// however often it is written. When the target registers again it is in use again.
-func TestForeignEntryNamesNoTarget(t *testing.T) {
+// A target whose registration is overwritten must get no requests until it registers again;
+// other targets are unaffected, and each key is logged once.
+func TestInvalidRegistrationDrainsTarget(t *testing.T) {
 	f := newFixture()
 	hook := f.watchLog()
 	f.put("target/a", "ready 100")
@@ -59,8 +58,8 @@
 	if len(got) != 2 || !got[0].Draining || got[1].Draining {
 		t.Fatalf("targets %+v", got)
 	}
-	if n := countLines(hook, "catalog: entry is no registration, it names no target to use"); n != 2 {
-		t.Errorf("%d lines of two foreign entries", n)
+	if n := countLines(hook, "catalog: invalid target registration, target gets no new requests"); n != 2 {
+		t.Errorf("%d lines for two invalid registrations", n)
 	}
 	f.put("target/a", "ready 100")
 	if got := f.View().Targets; got[0].Draining {
@@ -68,27 +67,26 @@
 	}
 }
 
-// A writer fills the store with entries under ever new keys. The log stays bounded.
-func TestForeignEntriesDoNotFillTheLog(t *testing.T) {
+// Invalid values under ever new keys must not flood the log.
+func TestInvalidRegistrationsDoNotFillTheLog(t *testing.T) {
 	f := newFixture()
 	hook := f.watchLog()
-	for i := range maxNoted + 100 {
+	for i := range maxRemembered + 100 {
 		f.put(fmt.Sprint("target/", i), "neither")
 	}
-	if n := len(hook.AllEntries()); n != maxNoted {
-		t.Errorf("%d lines, want %d", n, maxNoted)
+	if n := len(hook.AllEntries()); n != maxRemembered {
+		t.Errorf("%d lines, want %d", n, maxRemembered)
 	}
 }
 
-// Operators configure a kind of request that this program does not know. They learn it
-// once and not with each version.
+// An unknown route kind must be logged once, not with each configuration version.
 func TestUnknownKindIsLoggedOnce(t *testing.T) {
 	f := newFixture()
 	hook := f.watchLog()
 	for range 3 {
 		f.put("config", "kind novel")
 	}
-	if n := countLines(hook, "catalog: kind of route not known, its requests run at most once"); n != 1 {
-		t.Errorf("%d lines of one kind", n)
+	if n := countLines(hook, "catalog: unknown route kind, its requests are never retried"); n != 1 {
+		t.Errorf("%d lines for one kind", n)
 	}
 }
