--- a/edge/logs/account/account.go
+++ b/edge/logs/account/account.go
@@ -1,5 +1,5 @@
-// Package account tells, from the log lines of all VMs, which requests were late, refused
-// or failed, and why. It reads streams of any length in bounded memory.
+// Package account analyses the log lines of all VMs: which requests were late, refused or
+// failed, and why. It processes streams of any length in bounded memory.
 package account
 
 import (
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Options configure an account.
+// Options configure Read.
 type Options struct {
-	// Network is what the time between caller and VM adds to each answer.
+	// Network is the round-trip time between caller and VM, added to each response time.
 	Network time.Duration
 }
 
-// Counts are requests by how they ended.
+// Counts are numbers of requests by outcome.
 type Counts struct {
 	InObjective int           `json:"in_objective"`
 	Late        int           `json:"late"`
@@ -24,7 +24,7 @@
 	Causes      map[Cause]int `json:"causes,omitempty"`
 }
 
-// Total returns all requests.
+// Total returns the number of requests.
 func (c *Counts) Total() int { return c.InObjective + c.Late + c.Refused + c.Failed + c.CallerLeft }
 
 func (c *Counts) add(cause Cause) {
@@ -34,59 +34,59 @@
 	c.Causes[cause]++
 }
 
-// Group is the requests with one key.
+// Group holds the counts of requests with the same key.
 type Group struct {
 	Key string `json:"key"`
 	Counts
 }
 
-// Report is what a log shows.
+// Report is the result of the analysis.
 type Report struct {
-	// Requests is how many requests were read, Bad how many lines could not be.
+	// Requests is the number of requests read, BadLines the number of unreadable lines.
 	Requests int `json:"requests"`
 	BadLines int `json:"bad_lines"`
 	All      Counts
-	// ByRoute, ByRegion (of the VM that the caller asked) and BySecond (since the first
-	// line) are sorted by their keys.
+	// ByRoute, ByRegion (region of the entry VM) and BySecond (since the first line) are
+	// sorted by key.
 	ByRoute  []Group `json:"by_route"`
 	ByRegion []Group `json:"by_region"`
 	BySecond []Point `json:"by_second"`
 }
 
-// Point is the requests that ended in one second.
+// Point holds the counts of requests that ended in one second.
 type Point struct {
 	Second int `json:"second"`
 	Counts
-	// SlowRuns took long at their target. Expected and Seen are the mean times from
-	// placing to the end, in milliseconds.
-	SlowRuns int     `json:"slow_runs"`
-	Expected float64 `json:"expected_ms"`
-	Seen     float64 `json:"seen_ms"`
-	answered int
+	// SlowRuns is the number of slow runs at targets. Expected and Seen are the mean times
+	// from placement to the response, in milliseconds.
+	SlowRuns  int     `json:"slow_runs"`
+	Expected  float64 `json:"expected_ms"`
+	Seen      float64 `json:"seen_ms"`
+	responses int
 }
 
-// Read accounts for the lines of all sources. It returns an error if a source cannot be
-// read; lines that cannot be are counted.
+// Read analyses the lines of all sources. It returns an error if a source cannot be read;
+// unreadable lines are only counted.
 func Read(o Options, sources ...Source) (*Report, error) {
 	r := &reader{
-		options: o, memory: newMemory(), usual: make(map[class]*usual), regions: make(map[string]string),
-		routes: make(map[string]*Counts), places: make(map[string]*Counts), seconds: make(map[int]*Point), began: -1,
+		options: o, history: newHistory(), latencies: make(map[class]*latencyHistogram), regions: make(map[string]string),
+		routes: make(map[string]*Counts), vmRegions: make(map[string]*Counts), seconds: make(map[int]*Point), began: -1,
 	}
-	bad, err := merge(sources, r.take)
+	bad, err := merge(sources, r.add)
 	if err != nil {
 		return nil, err
 	}
-	r.account.BadLines = bad
-	r.account.ByRoute, r.account.ByRegion = groups(r.routes), groups(r.places)
+	r.report.BadLines = bad
+	r.report.ByRoute, r.report.ByRegion = groups(r.routes), groups(r.vmRegions)
 	for _, p := range r.seconds {
-		if p.answered > 0 {
-			p.Expected /= float64(p.answered)
-			p.Seen /= float64(p.answered)
+		if p.responses > 0 {
+			p.Expected /= float64(p.responses)
+			p.Seen /= float64(p.responses)
 		}
-		r.account.BySecond = append(r.account.BySecond, *p)
+		r.report.BySecond = append(r.report.BySecond, *p)
 	}
-	sort.Slice(r.account.BySecond, func(i, j int) bool { return r.account.BySecond[i].Second < r.account.BySecond[j].Second })
-	return &r.account, nil
+	sort.Slice(r.report.BySecond, func(i, j int) bool { return r.report.BySecond[i].Second < r.report.BySecond[j].Second })
+	return &r.report, nil
 }
 
 func groups(all map[string]*Counts) []Group {
@@ -99,26 +99,26 @@
 }
 
 type reader struct {
-	options Options
-	account Report
-	memory  *memory
-	usual   map[class]*usual
-	// regions of VMs, by name.
-	regions map[string]string
-	routes  map[string]*Counts
-	places  map[string]*Counts
-	seconds map[int]*Point
-	// began is the time of the first line, negative before it.
+	options   Options
+	report    Report
+	history   *history
+	latencies map[class]*latencyHistogram
+	// regions maps VM names to regions.
+	regions   map[string]string
+	routes    map[string]*Counts
+	vmRegions map[string]*Counts
+	seconds   map[int]*Point
+	// began is the time of the first request, negative before it.
 	began time.Duration
 }
 
-// class is a kind of request whose runs usually take alike; far tells the regions apart.
+// class is a set of requests with similar run times.
 type class struct {
 	route, service string
-	far            bool
+	otherRegion    bool
 }
 
-func (r *reader) take(e entry) {
+func (r *reader) add(e entry) {
 	if e.Message == messageStarted {
 		r.regions[e.vm] = e.Region
 		return
@@ -129,18 +129,18 @@
 	if r.began < 0 {
 		r.began = e.at
 	}
-	r.account.Requests++
+	r.report.Requests++
 	p := r.second(e.at)
-	slow := r.causeOfRun(&e)
+	slow := r.recordRun(&e)
 	if slow != "" {
 		p.SlowRuns++
 	}
 	own := r.regions[e.vm]
-	for _, c := range []*Counts{&r.account.All, countsOf(r.routes, e.Route), countsOf(r.places, own), &p.Counts} {
+	for _, c := range []*Counts{&r.report.All, countsOf(r.routes, e.Route), countsOf(r.vmRegions, own), &p.Counts} {
 		r.count(c, &e, slow)
 	}
 	if e.Result == "ok" && len(e.TookMS) > 0 {
-		p.answered++
+		p.responses++
 		p.Expected += float64(e.Expected)
 		p.Seen += float64(e.TookMS[len(e.TookMS)-1])
 	}
@@ -165,7 +165,7 @@
 	return c
 }
 
-// count adds a request to one group; slow is why its last run took long, if it did.
+// count adds a request to the counts; slow is the cause if its last run was slow.
 func (r *reader) count(c *Counts, e *entry, slow Cause) {
 	switch {
 	case e.Result == "caller-gone":
@@ -191,8 +191,8 @@
 	return e.ObjectiveMS == 0 || time.Duration(e.MS)*time.Millisecond+r.options.Network <= time.Duration(e.ObjectiveMS)*time.Millisecond
 }
 
-// waitedShare of the objective in the queue makes the queue the cause.
-const waitedShare = 0.33
+// queueWaitShare is the share of the objective above which queueing is the cause of lateness.
+const queueWaitShare = 0.33
 
 func (r *reader) causeOfLate(e *entry, slow Cause) Cause {
 	switch {
@@ -200,89 +200,88 @@
 		return Retried
 	case slow != "":
 		return slow
-	case float64(e.WaitedMS) > waitedShare*float64(e.ObjectiveMS):
+	case float64(e.WaitedMS) > queueWaitShare*float64(e.ObjectiveMS):
 		return QueueWait
-	case r.isFar(e):
+	case r.inOtherRegion(e):
 		return OtherRegion
 	}
 	return LateUnexplained
 }
 
-func (r *reader) isFar(e *entry) bool {
+func (r *reader) inOtherRegion(e *entry) bool {
 	own := r.regions[e.vm]
 	return own != "" && e.Region != "" && e.Region != own
 }
 
-// causeOfRun takes in the last run of a request and tells why it took long, "" if it
-// did not.
-func (r *reader) causeOfRun(e *entry) Cause {
+// recordRun records the last run of a request and returns the cause if it was slow, else "".
+func (r *reader) recordRun(e *entry) Cause {
 	last := len(e.Targets) - 1
 	if last < 0 || last >= len(e.TookMS) || e.Result != "ok" {
 		return ""
 	}
 	took := time.Duration(e.TookMS[last]) * time.Millisecond
-	kind := class{e.Route, e.Service, r.isFar(e)}
-	u := r.usual[kind]
+	kind := class{e.Route, e.Service, r.inOtherRegion(e)}
+	u := r.latencies[kind]
 	if u == nil {
-		u = &usual{}
-		r.usual[kind] = u
+		u = &latencyHistogram{}
+		r.latencies[kind] = u
 	}
 	ratio := u.ratio(took)
-	u.note(took)
+	u.record(took)
 	if e.Key == "" {
 		return ""
 	}
 	key := e.Service + " " + e.Key
-	at := r.memory.target(e.Targets[last], e.at)
+	at := r.history.target(e.Targets[last], e.at)
 	_, known := at.lastEnd(key)
 	cause := Cause("")
-	if ratio > slowFrom {
-		cause = r.memory.causeOfSlow(at, key, e.at-took)
+	if ratio > slowThreshold {
+		cause = r.history.causeOfSlow(at, key, e.at-took)
 	}
 	if known {
-		at.pace += slowRate * (min(ratio, maxRatio) - at.pace)
+		at.slowdown += slowdownWeight * (min(ratio, maxSlowdown) - at.slowdown)
 	}
-	r.memory.note(at, key, e.at)
+	r.history.record(at, key, e.at)
 	return cause
 }
 
-// maxRatio bounds what one run adds to the pace of a target.
-const maxRatio = 10
+// maxSlowdown limits the effect of one run on a target's slowdown.
+const maxSlowdown = 10
 
-// usual is the time of a warm run of a kind of request, by bins of a tenth each: that of
-// the fastest tenth, as most runs of a route may be cold.
-type usual struct {
+// latencyHistogram estimates the time of a warm run. It uses a low percentile, as most runs
+// of a route may be cold.
+type latencyHistogram struct {
 	bins  [128]int
 	total int
 }
 
-// binsPerE is how many bins a factor of e has.
+// binsPerE is the number of bins per factor of e.
 const binsPerE = 10
 
 func binOf(took time.Duration) int {
-	return min(max(0, int(binsPerE*math.Log(max(1, float64(took)/float64(time.Millisecond))))), len(usual{}.bins)-1)
+	return min(max(0, int(binsPerE*math.Log(max(1, float64(took)/float64(time.Millisecond))))), len(latencyHistogram{}.bins)-1)
 }
 
-func (u *usual) note(took time.Duration) {
+func (u *latencyHistogram) record(took time.Duration) {
 	u.bins[binOf(took)]++
 	u.total++
 }
 
 const (
-	// minUsual is how many runs it takes to know what is usual.
-	minUsual = 20
-	// fastest is one part of how many of the runs that is taken to be warm.
-	fastest = 10
+	// minSamples is the number of runs needed for an estimate.
+	minSamples = 20
+	// warmDivisor: the fastest 1/warmDivisor of the runs count as warm.
+	warmDivisor = 10
 )
 
-// ratio is how many times as long as a warm run one took, 1 while that is not known.
-func (u *usual) ratio(took time.Duration) float64 {
-	if u.total < minUsual {
+// ratio returns the time relative to a warm run, 1 without an estimate.
+func (u *latencyHistogram) ratio(took time.Duration) float64 {
+	if u.total < minSamples {
 		return 1
 	}
 	sum, at := 0, 0
 	for at = range u.bins {
-		if sum += u.bins[at]; fastest*sum >= u.total {
+		if sum += u.bins[at]; warmDivisor*sum >= u.total {
 			break
 		}
 	}
--- a/edge/logs/account/account_test.go
+++ b/edge/logs/account/account_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// log writes lines as VMs do.
+// log builds a log as VMs write it.
 type log struct {
 	bytes.Buffer
 	at int
 }
 
-// request writes the line of a request that ended gap ms after the one before.
+// request writes a request's line, gap ms after the previous one.
 func (l *log) request(gap int, fields string) {
 	l.at += gap
 	fmt.Fprintf(l, `{"msg":"gateway: request ended","time":"10:00:%02d.%03d","route":"r","service":"s","objective_ms":300,%s}`+"\n",
@@ -35,9 +35,8 @@
 	return a
 }
 
-// A day has one request of each fate. An engineer who adds up the table must find each of
-// them once, under its cause.
-func TestEachRequestHasItsCause(t *testing.T) {
+// Each request must be counted exactly once, under its cause.
+func TestEachRequestHasOneCause(t *testing.T) {
 	var l log
 	fmt.Fprintln(&l, `{"msg":"entry: started","time":"10:00:00.000","vm":"vm-1","region":"north"}`)
 	for i := range 30 {
@@ -88,8 +87,8 @@
 	}
 }
 
-// A target turns slow. Its known keys take long, which must not be told as forgotten.
-func TestSlowTargetIsNotForgetful(t *testing.T) {
+// A slow target must not be reported as one that evicts its keys.
+func TestSlowTargetIsNotReportedAsEviction(t *testing.T) {
 	var l log
 	for i := range 40 {
 		l.answered(20, fmt.Sprint("o", i%4), "t1", 100, "")
@@ -103,9 +102,8 @@
 	}
 }
 
-// Targets keep fewer keys than callers ask for, so that nine runs in ten are cold. Taken for
-// the usual ones they were told as late for no cause.
-func TestColdRunsAreNotTheUsualOnes(t *testing.T) {
+// Guards against a baseline of cold runs when most runs are cold: they would go unexplained.
+func TestBaselineIgnoresColdRuns(t *testing.T) {
 	var l log
 	for i := range 200 {
 		ms := 1000
@@ -119,8 +117,7 @@
 	}
 }
 
-// Lines of several VMs, cut in the middle, far too long, or of other programs. What can be
-// read counts, the rest is counted as not understood, and nothing ends the reading.
+// Truncated, overlong and foreign lines must be counted and must not stop the analysis.
 func TestBadLinesAreCounted(t *testing.T) {
 	var one, two log
 	one.WriteString("not of this program\n")
@@ -142,8 +139,7 @@
 	}
 }
 
-// Callers see the network's time as well, which the VM's line does not have.
-func TestNetworkCountsAgainstTheAim(t *testing.T) {
+func TestNetworkTimeCountsAgainstObjective(t *testing.T) {
 	var l log
 	l.answered(10, "o", "t1", 290, "")
 	if a := read(t, Options{}, l.String()); a.All.InObjective != 1 {
@@ -154,23 +150,22 @@
 	}
 }
 
-// A week of logs names more targets and keys than fit in memory. Old ones make room.
 func TestMemoryIsBounded(t *testing.T) {
-	m := newMemory()
-	for i := range 5 * maxFollowed / 2 {
+	m := newHistory()
+	for i := range 5 * maxTracked / 2 {
 		now := time.Duration(i) * time.Microsecond
-		if i > maxFollowed {
-			now += 2 * idleFor
+		if i > maxTracked {
+			now += 2 * idleTimeout
 		}
 		at := m.target(fmt.Sprint("t", i), now)
-		m.note(at, fmt.Sprint("o", i), now)
+		m.record(at, fmt.Sprint("o", i), now)
 	}
-	if len(m.targets) > maxFollowed || len(m.first) > maxFollowed || len(m.last) > maxFollowed {
-		t.Errorf("%d targets, %d keys", len(m.targets), len(m.first))
+	if len(m.targets) > maxTracked || len(m.firstRun) > maxTracked || len(m.lastRun) > maxTracked {
+		t.Errorf("%d targets, %d keys", len(m.targets), len(m.firstRun))
 	}
 	var one target
 	for i := range 2 * maxKeys {
-		one.note(run{key: fmt.Sprint(i)})
+		one.record(run{key: fmt.Sprint(i)})
 	}
 	if len(one.runs) != maxKeys {
 		t.Errorf("%d keys of one target", len(one.runs))
--- a/edge/logs/account/cause.go
+++ b/edge/logs/account/cause.go
@@ -3,65 +3,64 @@
 // Cause is why a request was late, refused or failed.
 type Cause string
 
-// Causes. Those of late requests are told apart by their last sending.
+// Causes. Late requests are classified by their last attempt.
 const (
 	// FirstRun: no target had run the key before.
 	FirstRun Cause = "late: first run of the key"
-	// DuringFirstRun: it ran while the target ran the key for the first time.
+	// DuringFirstRun: it ran concurrently with the key's first run.
 	DuringFirstRun Cause = "late: beside the first run"
-	// WarmElsewhere: another target was warm for the key.
+	// WarmElsewhere: only other targets were warm for the key.
 	WarmElsewhere Cause = "late: warm at another target"
-	// Evicted: the target had run it, and runs other keys as fast as ever.
+	// Evicted: the target had run the key, and runs other keys at normal speed.
 	Evicted Cause = "late: forgotten by the target"
-	// TargetSlow: the target runs all keys slowly.
+	// TargetSlow: the target was slow for all keys.
 	TargetSlow Cause = "late: target slow"
-	// QueueWait: more than a third of the objective went in the queue.
+	// QueueWait: it spent more than a third of the objective in the queue.
 	QueueWait Cause = "late: waited in the queue"
-	// Retried: an earlier sending had failed.
+	// Retried: an earlier attempt had failed.
 	Retried Cause = "late: sent again"
-	// OtherRegion: it ran at its usual speed in another region.
+	// OtherRegion: it ran at normal speed in another region.
 	OtherRegion Cause = "late: far region"
-	// LateUnexplained: none of these.
+	// LateUnexplained: none of the above.
 	LateUnexplained Cause = "late: could not be told"
 
-	// SlotsFree: a tenth of the region's slots or more were free.
+	// SlotsFree: at least a tenth of the region's slots were free.
 	SlotsFree Cause = "refused: slots were free"
 	// SlotsTaken: nearly all slots were taken.
 	SlotsTaken Cause = "refused: slots were taken"
-	// NoTarget: no target may run it.
+	// NoTarget: no target was eligible.
 	NoTarget Cause = "refused: no target"
-	// NotServing: the VM was stopping, or had no configuration yet.
+	// NotServing: the VM was shutting down or had no configuration yet.
 	NotServing Cause = "refused: VM not serving"
-	// Quarantined: targets ended when they ran it.
+	// Quarantined: the request had crashed targets.
 	Quarantined Cause = "refused: ends targets"
-	// RefusedUnexplained: none of these.
+	// RefusedUnexplained: none of the above.
 	RefusedUnexplained Cause = "refused: could not be told"
 
-	// ResponseLost: the connection to the target ended before the answer.
+	// ResponseLost: the connection to the target broke before the complete response.
 	ResponseLost Cause = "failed: answer lost"
-	// ResponseTimeout: the time was over before the answer.
+	// ResponseTimeout: the deadline passed before the response.
 	ResponseTimeout Cause = "failed: no answer in time"
-	// TargetRefused: each target that it was sent to refused it unrun.
+	// TargetRefused: all targets tried refused it without running it.
 	TargetRefused Cause = "failed: refused by targets"
-	// OwnerLost: the VM that decides on its key did not answer.
+	// OwnerLost: the VM that owns its affinity key did not respond.
 	OwnerLost Cause = "failed: owner did not answer"
-	// Unreachable: no target could be reached.
+	// Unreachable: no connection to a target succeeded.
 	Unreachable Cause = "failed: target not reachable"
-	// TargetFailed: the target answered that it failed.
+	// TargetFailed: the target responded with a server error.
 	TargetFailed Cause = "failed: target's failure"
-	// FailedUnexplained: none of these.
+	// FailedUnexplained: none of the above.
 	FailedUnexplained Cause = "failed: could not be told"
 )
 
-// freeShare of a region's slots makes a refusal one that need not have been.
-const freeShare = 0.1
+// freeSlotShare is the share of free slots from which a refusal counts as avoidable.
+const freeSlotShare = 0.1
 
-// mayHaveRun reports whether the VM could not tell that the request did not run.
+// mayHaveRun reports whether the request may have run at a target.
 func (e *entry) mayHaveRun() bool {
 	return e.Result == "connection-lost" || e.Result == "deadline-after-send"
 }
 
-// causeOfRefusal tells by what the VM said and what it counted.
 func causeOfRefusal(e *entry) Cause {
 	switch {
 	case e.Why == "no target" || e.Result == "no-target":
@@ -72,7 +71,7 @@
 		return Quarantined
 	case e.Result != "queue-full" || e.Slots == 0:
 		return RefusedUnexplained
-	case float64(e.InFlight) < (1-freeShare)*float64(e.Slots):
+	case float64(e.InFlight) < (1-freeSlotShare)*float64(e.Slots):
 		return SlotsFree
 	}
 	return SlotsTaken
@@ -91,7 +90,7 @@
 	case "connect-failed":
 		return Unreachable
 	case "queue-full":
-		// A target had refused it, and then there was no slot.
+		// A target refused it, and no other slot was free.
 		return TargetRefused
 	}
 	return FailedUnexplained
--- a/edge/logs/account/line.go
+++ b/edge/logs/account/line.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// Messages of the lines that are read. All others are passed over.
+// Messages of the lines that are analysed. All others are ignored.
 const (
 	messageRequest = "gateway: request ended"
 	messageStarted = "entry: started"
 )
 
-// line is what is read of one log line.
+// line holds the fields of a log line that the analysis uses.
 type line struct {
 	Message string `json:"msg"`
 	Time    string `json:"time"`
-	// VM is set in the queue that a VM writes at its start. Region is its own there, and
-	// that of the target in the queue of a request.
+	// VM is set in the line of a VM's start. Region is the VM's own there, and the
+	// target's in the line of a request.
 	VM     string `json:"vm"`
 	Region string `json:"region"`
 
@@ -40,16 +40,15 @@
 	Slots       int      `json:"slots"`
 }
 
-// entry is a line with when and by which VM it was written.
+// entry is a line with its time and the VM that wrote it.
 type entry struct {
 	line
 	vm string
 	at time.Duration
 }
 
-// parse decodes a line. Words before the JSON key are of whatever gathered the logs;
-// the last of them names the VM. A line without a key is no fault, ok is false for
-// one whose key cannot be read.
+// parse decodes a line. The last word before the JSON object, if any, is the VM's name. skip
+// is set for lines that do not concern the analysis, ok is false for unreadable ones.
 func parse(text []byte) (e entry, skip, ok bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
--- a/edge/logs/account/source.go
+++ b/edge/logs/account/source.go
@@ -8,17 +8,17 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one line, in bytes. Longer ones are passed over and counted.
+// maxLine limits the length of a line in bytes. Longer lines are skipped and counted.
 const maxLine = 64 << 10
 
-// Source is the log of one VM, or of several that was gathered in one file.
+// Source is the log of one VM, or of several collected in one file.
 type Source struct {
-	// Name stands for the VM in lines that do not name it.
+	// Name is the VM of lines that do not name one.
 	Name   string
 	Reader io.Reader
 }
 
-// stream reads one source, the next line first.
+// stream reads one source and holds its next line.
 type stream struct {
 	name   string
 	reader *bufio.Reader
@@ -26,7 +26,7 @@
 	bad    *int
 }
 
-// advance reads up to the next line that counts; false at the end.
+// advance reads the next relevant line; it returns false at the end.
 func (s *stream) advance() (bool, error) {
 	for {
 		text, err := s.reader.ReadSlice('\n')
@@ -57,7 +57,7 @@
 	}
 }
 
-// skipLine reads to the end of a line that is too long.
+// skipLine reads to the end of an overlong line.
 func (s *stream) skipLine() error {
 	for {
 		_, err := s.reader.ReadSlice('\n')
@@ -67,7 +67,7 @@
 	}
 }
 
-// streams is a heap of sources, the one with the earliest line first.
+// streams is a heap of sources ordered by the time of their next line.
 type streams []*stream
 
 func (h streams) Len() int           { return len(h) }
@@ -81,9 +81,9 @@
 	return last
 }
 
-// merge calls take with the lines of all sources by their time. It holds one line of each
-// source at once. It returns how many lines could not be read.
-func merge(sources []Source, take func(entry)) (bad int, err error) {
+// merge calls visit with the lines of all sources in order of time, holding one line of
+// each source. It returns the number of unreadable lines.
+func merge(sources []Source, visit func(entry)) (bad int, err error) {
 	var h streams
 	for _, source := range sources {
 		s := &stream{name: source.Name, reader: bufio.NewReaderSize(source.Reader, maxLine), bad: &bad}
@@ -98,7 +98,7 @@
 	heap.Init(&h)
 	for len(h) > 0 {
 		s := h[0]
-		take(s.next)
+		visit(s.next)
 		more, err := s.advance()
 		if err != nil {
 			return bad, err
--- a/edge/logs/account/table.go
+++ b/edge/logs/account/table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// WriteTables writes an account as text.
+// WriteTables writes the report as text tables.
 func (a *Report) WriteTables(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%d requests, %d lines not understood\n\n", a.Requests, a.BadLines)
@@ -45,12 +45,12 @@
 func writeGroups(w io.Writer, name string, list []Group) {
 	fmt.Fprintf(w, "\n%s\tasked\tin objective\tlate\trefused\tfailed\tmost for\t\n", name)
 	for _, g := range list {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", g.Key, g.Total(), g.InObjective, g.Late, g.Refused, g.Failed, mostOf(g.Causes))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%s\t\n", g.Key, g.Total(), g.InObjective, g.Late, g.Refused, g.Failed, mostFrequent(g.Causes))
 	}
 }
 
-// mostOf is the cause of most requests, the first by name of equal ones.
-func mostOf(causes map[Cause]int) Cause {
+// mostFrequent returns the most frequent cause, the first by name among equals.
+func mostFrequent(causes map[Cause]int) Cause {
 	best := Cause("")
 	for cause, n := range causes {
 		if n > causes[best] || (n == causes[best] && cause < best) {
--- a/edge/logs/logs.go
+++ b/edge/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes log lines without ever making the request path wait: lines
-// go to a bounded queue, and those that find it full are counted and dropped.
+// Package logs provides a logger that never blocks the request path: lines go to a bounded
+// queue; when it is full, they are counted and dropped.
 package logs
 
 import (
@@ -11,9 +11,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// queued bounds the lines that wait for the output. At some 400 bytes a line they
-// are about 1 MB, four seconds of a VM's busiest traffic.
-const queued = 2048
+// queueSize limits the lines that wait to be written, and so their memory.
+const queueSize = 2048
 
 // New returns a logger that writes JSON lines to out.
 func New(out io.Writer) *logrus.Logger {
@@ -23,8 +22,8 @@
 	return l
 }
 
-// Flush waits until the lines written so far are on the output, or the time is over. A
-// process calls it before it exits: its last lines tell how it ended.
+// Flush waits until all lines logged so far are written, or the time is over. Processes
+// call it before they exit so that the last lines are not lost.
 func Flush(l *logrus.Logger, within time.Duration) {
 	q, ok := l.Out.(*queue)
 	if !ok {
@@ -44,13 +43,13 @@
 	}
 }
 
-// entry is a line, or a mark that is closed once all lines before it are written.
+// entry is a line, or a marker whose channel is closed once all lines before it are written.
 type entry struct {
 	line    []byte
 	written chan struct{}
 }
 
-// queue is a writer that never waits.
+// queue is a non-blocking writer.
 type queue struct {
 	lines   chan entry
 	dropped atomic.Uint64
@@ -58,12 +57,11 @@
 }
 
 func newQueue(out io.Writer) *queue {
-	q := &queue{lines: make(chan entry, queued), out: out}
+	q := &queue{lines: make(chan entry, queueSize), out: out}
 	go q.run()
 	return q
 }
 
-// Write implements io.Writer.
 func (q *queue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- entry{line: append([]byte(nil), line...)}:
@@ -73,8 +71,8 @@
 	return len(line), nil
 }
 
-// run writes until the process ends. An output that cannot be written to takes no
-// line about that either.
+// run writes until the process ends. Write errors are ignored, as there is nowhere to report
+// them.
 func (q *queue) run() {
 	for e := range q.lines {
 		if e.written != nil {
--- a/edge/logs/logs_test.go
+++ b/edge/logs/logs_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// blocked is an output that takes nothing until it is let.
-type blocked struct {
-	let  chan struct{}
-	mu   sync.Mutex
-	text bytes.Buffer
-	done chan struct{}
+// blockedWriter blocks all writes until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	text    bytes.Buffer
+	done    chan struct{}
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
-	<-b.let
+func (b *blockedWriter) Write(p []byte) (int, error) {
+	<-b.unblock
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n, err := b.text.Write(p)
@@ -31,15 +31,14 @@
 	return n, err
 }
 
-// Nobody reads the log. Requests must not wait for it: lines are dropped, and the first
-// line after that says how many.
-func TestFullOutputDropsLines(t *testing.T) {
-	out := &blocked{let: make(chan struct{}), done: make(chan struct{})}
+// A blocked output must not block logging: lines are dropped and their number is logged.
+func TestFullQueueDropsLines(t *testing.T) {
+	out := &blockedWriter{unblock: make(chan struct{}), done: make(chan struct{})}
 	log := New(out)
-	for range 2 * queued {
+	for range 2 * queueSize {
 		log.Info("line")
 	}
-	close(out.let)
+	close(out.unblock)
 	<-out.done
 	out.mu.Lock()
 	defer out.mu.Unlock()
@@ -48,15 +47,14 @@
 	}
 }
 
-// A process exits right after its last line. The line was still in the queue, so that
-// the log did not tell how the process ended. An output that nobody reads must not keep
-// the process from its end.
+// Flush must write the last lines before the process exits, and must not hang on a blocked
+// output.
 func TestFlushWritesTheLastLines(t *testing.T) {
-	out := &blocked{let: make(chan struct{}), done: make(chan struct{})}
+	out := &blockedWriter{unblock: make(chan struct{}), done: make(chan struct{})}
 	log := New(out)
 	log.Info("last")
 	Flush(log, time.Millisecond)
-	close(out.let)
+	close(out.unblock)
 	Flush(log, time.Minute)
 	out.mu.Lock()
 	defer out.mu.Unlock()
