--- a/cmd/yuccaentry/main.go
+++ b/cmd/yuccaentry/main.go
@@ -1,7 +1,7 @@
 // Command yuccaentry runs one entry VM on the users' platform.
 //
-// SIGTERM is a planned stop: the VM leaves the directory, ends the work in hand
-// and exits. SIGHUP reads the settings again.
+// SIGTERM shuts the VM down gracefully. SIGHUP reads and checks the settings file; a running
+// VM does not apply them.
 package main
 
 import (
@@ -25,20 +25,18 @@
 )
 
 const (
-	// watchWait is how long the store holds a watch. A watch whose connection went
-	// silent is noticed after it, which must be within the time that a change has
-	// to come into force.
-	watchWait = 3 * time.Second
-	// heapShare of the memory is what the collector aims for.
-	heapShare = 0.6
-	// collectAt is by how many percent the heap grows between two collections: memory is
-	// dearer than processor time by far.
-	collectAt = 40
-	// flushTime bounds the wait for the last log lines; it is within what a planned stop
-	// leaves of its grace time.
-	flushTime = 150 * time.Millisecond
-	// filesForTargets are descriptors that callers' connections leave free.
-	filesForTargets = 1200
+	// watchTimeout is the long-poll time of a watch. It limits how long a dead connection to
+	// the store goes unnoticed, and so how long a change can be delayed.
+	watchTimeout = 3 * time.Second
+	// memoryLimitShare is the Go runtime's soft memory limit as a share of the VM's memory.
+	memoryLimitShare = 0.6
+	// gcPercent is below Go's default, because memory is scarcer than processor time.
+	gcPercent = 40
+	// flushTimeout limits the wait for the last log lines; it must be shorter than the part
+	// of the grace period that a shutdown leaves unused.
+	flushTimeout = 150 * time.Millisecond
+	// targetFiles is the number of file descriptors reserved for connections to targets.
+	targetFiles = 1200
 )
 
 func main() {
@@ -58,7 +56,7 @@
 	var metricsPort int
 	run := &cobra.Command{
 		Use: "run", Short: "Serve until a signal", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return serve(file, metricsPort) },
+		RunE: func(*cobra.Command, []string) error { return runVM(file, metricsPort) },
 	}
 	check := &cobra.Command{
 		Use: "check", Short: "Check the settings and exit", Args: cobra.NoArgs,
@@ -71,29 +69,29 @@
 		},
 	}
 	root.PersistentFlags().StringVar(&file, "settings", os.Getenv(platform.SettingsVariable),
-		"file with the settings; default from "+platform.SettingsVariable)
-	run.Flags().IntVar(&metricsPort, "metrics-port", 0, "port that shows the metrics, beside the first port between VMs; 0 for none")
+		"settings file; default from "+platform.SettingsVariable)
+	run.Flags().IntVar(&metricsPort, "metrics-port", 0, "additional port for the metrics, which the peer port serves too; 0 disables it")
 	root.AddCommand(run, check)
 	return root
 }
 
-// serve runs the VM until a signal.
-func serve(file string, metricsPort int) error {
+// runVM runs the VM until a signal to stop.
+func runVM(file string, metricsPort int) error {
 	s, err := platform.LoadSettings(file)
 	if err != nil {
 		return program.Exit(program.ExitUsage, err)
 	}
 	memory := int64(s.Limits.MemoryMB) << 20
-	debug.SetGCPercent(collectAt)
-	debug.SetMemoryLimit(int64(heapShare * float64(memory)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(memory)))
 	logger := logs.New(os.Stdout)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	client, err := kvclient.New(kvclient.Options{Address: s.Store.Address, Wait: watchWait})
+	client, err := kvclient.New(kvclient.Options{Address: s.Store.Address, Wait: watchTimeout})
 	if err != nil {
 		return program.Exit(program.ExitUsage, err)
 	}
-	e, err := entry.Start(optionsOf(s, client, memory, metricsPort, logger))
+	e, err := entry.Start(newOptions(s, client, memory, metricsPort, logger))
 	if err != nil {
 		return program.Exit(program.ExitFailed, err)
 	}
@@ -104,12 +102,12 @@
 		reload(file, logger)
 	}
 	e.Shutdown()
-	logs.Flush(logger, flushTime)
+	logs.Flush(logger, flushTimeout)
 	return nil
 }
 
-// reload reads the settings again. What a running VM uses of them, its addresses
-// and its place, cannot change before it starts anew.
+// reload checks the settings. The ones a running VM uses, its addresses and its failure
+// domain, only change with a restart.
 func reload(file string, logger *logrus.Logger) {
 	log := logger.WithField("part", "entry")
 	if _, err := platform.LoadSettings(file); err != nil {
@@ -119,7 +117,7 @@
 	log.Info("entry: settings read again")
 }
 
-func optionsOf(s *platform.Settings, client store.KV, memory int64, metricsPort int, logger *logrus.Logger) entry.Options {
+func newOptions(s *platform.Settings, client store.KV, memory int64, metricsPort int, logger *logrus.Logger) entry.Options {
 	items := platform.Items{}
 	peer := fmt.Sprintf("%s:%d", s.Node.IP, s.Ports.First)
 	metrics := ""
@@ -138,7 +136,7 @@
 			VMKey: items.VMKey(s.Node.Name), ParseCaller: platform.Caller, EncodeAddresses: platform.Resolved,
 		},
 		Codec: items, QuarantineKeys: items, KV: client, Logger: logger,
-		MemoryBytes: memory, MaxConnections: max(64, s.Limits.MaxFiles-filesForTargets),
+		MemoryBytes: memory, MaxConnections: max(64, s.Limits.MaxFiles-targetFiles),
 		Grace: platform.Duration(s.Bounds.Grace), MaxTTL: platform.Duration(s.Bounds.MaxTTL),
 		RetryRatio: s.Bounds.RetryRatio, RetryExtra: s.Bounds.RetryExtra,
 	}
