--- a/edge/catalog/target.go
+++ b/edge/catalog/target.go
@@ -15,11 +15,13 @@
 type incarnations map[string]int64
 
 // isStale reports whether a registration is of an earlier start than the latest known.
-func (i incarnations) isStale(key string, t site.Target) bool { return t.Born > 0 && t.Born < i[key] }
+func (i incarnations) isStale(key string, t site.Target) bool {
+	return t.StartedMillis > 0 && t.StartedMillis < i[key]
+}
 
 // lacksIncarnation reports whether a registration has no start time though earlier ones had.
 func (i incarnations) lacksIncarnation(key string, t site.Target) bool {
-	return t.Born == 0 && i[key] > 0
+	return t.StartedMillis == 0 && i[key] > 0
 }
 
 func (i incarnations) record(key string, born int64) {
@@ -59,11 +61,11 @@
 	delete(c.invalidKeys, key)
 	old, known := c.targets[key]
 	c.targets[key] = Target{Target: t, ReceivedAt: c.options.Now()}
-	c.incarnations.record(key, t.Born)
+	c.incarnations.record(key, t.StartedMillis)
 	switch {
 	case !known && !t.Draining:
 		c.changes.add(changeNew, t.ID)
-	case known && old.Born != t.Born:
+	case known && old.StartedMillis != t.StartedMillis:
 		c.changes.add(changeRestarted, t.ID)
 	case t.Draining && !old.Draining:
 		c.changes.add(changeDraining, t.ID)
--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -64,7 +64,7 @@
 	peerServer   *serve.Server
 	servers      []*serve.Server
 	leaving      atomic.Bool
-	digests      *peers.Digests
+	digests      *peers.DigestMonitor
 	regionState  *regionState
 	stop         context.CancelFunc
 	// deregister cancels the registration of this VM in the store.
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Entry{options: o, log: o.Logger, stop: cancel}
 	now := time.Now()
-	e.digests = peers.NewDigests(now)
+	e.digests = peers.NewDigestMonitor(now)
 	e.regionState = &regionState{log: e.component("entry")}
 	e.roundTrips = newRoundTrips(o.VM.Region)
 	e.members = peers.New(o.VM, now)
@@ -85,22 +85,22 @@
 	e.gatewayMetrics = newGatewayMetrics(e.metrics.Scope)
 	e.owners = owners.New(o.VM)
 	e.balancer = placing.New(placing.Options{
-		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, Delay: e.roundTrips.get,
+		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, RTT: e.roundTrips.get,
 	})
 	e.quarantine = quarantine.New(quarantine.Options{
-		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.component("quarantine"), Told: e.reportUrgent,
+		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.component("quarantine"), EventAdded: e.reportUrgent,
 	})
 	e.gateway = gateway.New(gateway.Options{
 		Fields: o.Names.Fields, Balancer: e.balancer, Logger: e.component("gateway"), Metrics: e.gatewayMetrics,
-		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMs: e.members.Count, Delay: e.roundTrips.get,
-		Changed: e.reportSoon, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: maxResponseBytes,
+		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMCount: e.members.Count, RTT: e.roundTrips.get,
+		InFlightChanged: e.reportSoon, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: maxResponseBytes,
 	})
 	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.component("catalog"), Changed: e.setView, Now: time.Now})
 	e.replica = replica.New(replica.Options{
 		KV: o.KV, Logger: e.component("replica"), Prefix: o.Names.WatchPrefix, Changed: e.applyChanges, FetchFrom: fetchSnapshot,
-		Watches: func() bool { return e.members.Watches(time.Now()) },
-		Leads:   func() bool { return e.members.WatchesAlone(time.Now()) },
-		First:   func() bool { return e.members.WatchesFirst(time.Now()) },
+		Watches: func() bool { return e.members.ShouldWatch(time.Now()) },
+		Leads:   func() bool { return e.members.IsWatchLeader(time.Now()) },
+		First:   func() bool { return e.members.IsDefaultWatcher(time.Now()) },
 	})
 	e.snapshots = &snapshots{replica: e.replica, log: e.component("replica")}
 	if err := e.listen(ctx); err != nil {
@@ -123,14 +123,14 @@
 // reportSoon schedules an early report to the other VMs of the region.
 func (e *Entry) reportSoon() {
 	if e.exchange != nil {
-		e.exchange.Changed()
+		e.exchange.RequestReport()
 	}
 }
 
 // reportUrgent schedules an early report to the VMs of all regions.
 func (e *Entry) reportUrgent() {
 	if e.exchange != nil {
-		e.exchange.Urgent()
+		e.exchange.RequestUrgentReport()
 	}
 }
 
@@ -237,19 +237,19 @@
 	e.updateSharers(now)
 	e.gateway.SetView(v, now)
 	for _, vm := range e.members.Others() {
-		e.roundTrips.measure(vm.Region, vm.Peer)
+		e.roundTrips.measure(vm.Region, vm.PeerAddress)
 	}
 }
 
 // updateSharers updates the set of VMs that share the region's work and its affinity keys.
 func (e *Entry) updateSharers(now time.Time) {
-	names := e.members.Sharers(now)
+	names := e.members.WorkSharers(now)
 	e.regionState.setSharers(names)
 	e.balancer.SetVMs(names)
-	if live, known := e.members.DomainLive(now); known && !e.leaving.Load() {
-		e.owners.Set(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
+	if live, known := e.members.LiveInDomain(now); known && !e.leaving.Load() {
+		e.owners.SetVMs(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
 	}
-	e.balancer.SetKeyDivision(e.owners.Divided())
+	e.balancer.SetKeyOwnerCount(e.owners.EffectiveVMs())
 }
 
 // inFlight returns the number of requests of callers and other VMs without a complete response.
@@ -277,7 +277,7 @@
 		last = now
 		e.catalog.Expire(now)
 		e.updateSharers(now)
-		e.quarantine.Tick(ctx, now, e.members.WatchesAlone(now))
+		e.quarantine.Tick(ctx, now, e.members.IsWatchLeader(now))
 		e.gatewayMetrics.setQuarantine(e.quarantine.Counts())
 		e.gateway.Probe(ctx, e.healthPath)
 	}
--- a/edge/entry/exchange.go
+++ b/edge/entry/exchange.go
@@ -25,18 +25,18 @@
 // recipients returns the VMs that get this VM's reports and digests.
 func (e *Entry) recipients() exchange.Recipients {
 	now := time.Now()
-	g := e.members.Group(now)
+	g := e.members.Topology(now)
 	own := e.options.VM.Name
-	to := exchange.Recipients{Large: g.Large, SameRegion: peersOf(g.Listeners, own)}
-	listens := len(to.SameRegion) < len(g.Listeners)
-	e.digests.Await(now, g.Large && !listens)
+	to := exchange.Recipients{Large: g.Large, SameRegion: peersOf(g.Aggregators, own)}
+	listens := len(to.SameRegion) < len(g.Aggregators)
+	e.digests.SetExpected(now, g.Large && !listens)
 	e.regionState.setRole(role{
-		listens: g.Large && listens, sendsDigests: g.Large && g.Listeners[0].Name == own, digestsMissing: e.digests.Missing(now),
+		listens: g.Large && listens, sendsDigests: g.Large && g.Aggregators[0].Name == own, digestsMissing: e.digests.Missing(now),
 	})
 	if listens {
-		to.OtherRegions = peersOf(g.Far, own)
+		to.OtherRegions = peersOf(g.RemoteAggregators, own)
 	}
-	if g.Large && listens && g.Listeners[0].Name == own {
+	if g.Large && listens && g.Aggregators[0].Name == own {
 		to.Digests = peersOf(append(g.SameDomain, g.Unreached...), own)
 		to.Relays = peersOf(g.Relays, own)
 	}
@@ -46,15 +46,15 @@
 // relayTo returns the VMs to which this one forwards a digest.
 func (e *Entry) relayTo() ([]exchange.Peer, exchange.Relay) {
 	at, _ := e.replica.At()
-	via := exchange.Relay{Peer: e.options.VM.Peer, Revision: uint64(at)}
-	return peersOf(e.members.Group(time.Now()).SameDomain, e.options.VM.Name), via
+	via := exchange.Relay{Peer: e.options.VM.PeerAddress, Revision: uint64(at)}
+	return peersOf(e.members.Topology(time.Now()).SameDomain, e.options.VM.Name), via
 }
 
 func peersOf(vms []site.VM, except string) []exchange.Peer {
 	list := make([]exchange.Peer, 0, len(vms))
 	for _, vm := range vms {
 		if vm.Name != except {
-			list = append(list, exchange.Peer{Name: vm.Name, Address: vm.Peer})
+			list = append(list, exchange.Peer{Name: vm.Name, Address: vm.PeerAddress})
 		}
 	}
 	return list
@@ -65,10 +65,10 @@
 	now := time.Now()
 	at, _ := e.replica.At()
 	s := exchange.State{
-		VM: e.options.VM, Leaving: e.leaving.Load(), Serving: e.gateway.Ready(), Linked: e.replica.Linked(),
+		VM: e.options.VM, Leaving: e.leaving.Load(), Serving: e.gateway.Ready(), StoreConnected: e.replica.Linked(),
 		Revision: uint64(at), NoDigest: e.digests.Missing(now),
 		// Aggregated reports go to other regions, which already know their own events.
-		Events: e.quarantine.Recent(now, !sum),
+		Events: e.quarantine.PendingEvents(now, !sum),
 	}
 	if !sum {
 		s.InFlight, s.Demand = e.balancer.Report(now)
@@ -88,10 +88,10 @@
 		return d
 	}
 	inFlight, far := e.balancer.OtherRegionSums(now)
-	d.Full = &exchange.Full{InFlight: inFlight, Demand: far}
-	for name, state := range e.members.Seen() {
-		d.Full.Seen = append(d.Full.Seen, exchange.Seen{
-			Name: name, Age: now.Sub(state.At), Leaving: state.Leaving, Serving: state.Serving, Linked: state.Linked,
+	d.Details = &exchange.DigestDetails{InFlight: inFlight, Demand: far}
+	for name, state := range e.members.RegionStates() {
+		d.Details.VMs = append(d.Details.VMs, exchange.VMStatus{
+			Name: name, Age: now.Sub(state.At), Leaving: state.Leaving, Serving: state.Serving, StoreConnected: state.StoreConnected,
 		})
 	}
 	return d
@@ -101,8 +101,8 @@
 func (e *Entry) received(ctx context.Context) func(exchange.State) {
 	return func(s exchange.State) {
 		now := time.Now()
-		if e.members.Observe(s.VM, peers.State{At: now, Serving: s.Serving, Leaving: s.Leaving, Linked: s.Linked, NoDigest: s.NoDigest}) {
-			e.roundTrips.measure(s.VM.Region, s.VM.Peer)
+		if e.members.Observe(s.VM, peers.State{At: now, Serving: s.Serving, Leaving: s.Leaving, StoreConnected: s.StoreConnected, NoDigest: s.NoDigest}) {
+			e.roundTrips.measure(s.VM.Region, s.VM.PeerAddress)
 		}
 		e.applyCounts(now, s)
 		e.applyEvents(now, &s)
@@ -112,7 +112,7 @@
 		// Snapshots from a VM of the own failure domain cause no traffic between domains;
 		// the listener is the fallback for a relay that lacks the change.
 		near := s.VM.Region == e.options.VM.Region && s.Relay == nil
-		e.replica.ObservePeer(ctx, s.VM.Peer, near, store.Revision(s.Revision), now)
+		e.replica.ObservePeer(ctx, s.VM.PeerAddress, near, store.Revision(s.Revision), now)
 	}
 }
 
@@ -141,21 +141,21 @@
 	if s.Sum {
 		name = regionPeerName(s.VM.Region)
 	}
-	e.balancer.SetPeer(now, name, &placing.Peer{
-		InFlight: s.InFlight, Demand: map[string]map[string]float64{s.VM.Region: s.Demand}, Sum: s.Sum, At: now,
+	e.balancer.SetPeerReport(now, name, &placing.PeerReport{
+		InFlight: s.InFlight, Demand: map[string]map[string]float64{s.VM.Region: s.Demand}, Aggregated: s.Sum, At: now,
 	})
 }
 
 func (e *Entry) applyDigest(now time.Time, d *exchange.Digest) {
 	e.digests.Received(now)
 	e.balancer.SetRegionSums(now, regionSums, d.InFlight, d.Demand)
-	if d.Full == nil {
+	if d.Details == nil {
 		return
 	}
-	e.balancer.SetPeer(now, otherRegionSums, &placing.Peer{InFlight: d.Full.InFlight, Demand: d.Full.Demand, Sum: true, At: now})
-	for _, seen := range d.Full.Seen {
-		e.members.ObserveFrom(seen.Name, peers.State{
-			At: now.Add(-seen.Age), Serving: seen.Serving, Leaving: seen.Leaving, Linked: seen.Linked,
+	e.balancer.SetPeerReport(now, otherRegionSums, &placing.PeerReport{InFlight: d.Details.InFlight, Demand: d.Details.Demand, Aggregated: true, At: now})
+	for _, seen := range d.Details.VMs {
+		e.members.ObserveIndirect(seen.Name, peers.State{
+			At: now.Add(-seen.Age), Serving: seen.Serving, Leaving: seen.Leaving, StoreConnected: seen.StoreConnected,
 		})
 	}
 }
--- a/edge/entry/gatewaymetrics.go
+++ b/edge/entry/gatewaymetrics.go
@@ -23,9 +23,9 @@
 	mu       sync.Mutex
 	requests map[requestTags]requestMetrics
 	attempts map[attemptTags]tally.Counter
-	// delegations are keyed by outcome, targetEnds by service.
-	delegations map[string]tally.Counter
-	targetEnds  map[string]tally.Counter
+	// delegations are keyed by outcome, targetCrashes by service.
+	delegations   map[string]tally.Counter
+	targetCrashes map[string]tally.Counter
 }
 
 type requestTags struct {
@@ -42,11 +42,11 @@
 
 func newGatewayMetrics(scope tally.Scope) *gatewayMetrics {
 	return &gatewayMetrics{scope: scope, requests: make(map[requestTags]requestMetrics), attempts: make(map[attemptTags]tally.Counter),
-		delegations: make(map[string]tally.Counter), targetEnds: make(map[string]tally.Counter)}
+		delegations: make(map[string]tally.Counter), targetCrashes: make(map[string]tally.Counter)}
 }
 
-// Ended implements gateway.Metrics.
-func (c *gatewayMetrics) Ended(route, service string, code int, took time.Duration) {
+// RequestEnded implements gateway.Metrics.
+func (c *gatewayMetrics) RequestEnded(route, service string, code int, took time.Duration) {
 	m := c.request(requestTags{route, service, code})
 	m.ended.Inc(1)
 	m.latency.RecordDuration(took)
@@ -66,8 +66,8 @@
 	return m
 }
 
-// Sent implements gateway.Metrics.
-func (c *gatewayMetrics) Sent(service, outcome string) {
+// AttemptEnded implements gateway.Metrics.
+func (c *gatewayMetrics) AttemptEnded(service, outcome string) {
 	c.mu.Lock()
 	tags := attemptTags{service, outcome}
 	counter, ok := c.attempts[tags]
@@ -79,14 +79,14 @@
 	counter.Inc(1)
 }
 
-// Delegated implements gateway.Metrics.
-func (c *gatewayMetrics) Delegated(outcome string) {
+// RequestDelegated implements gateway.Metrics.
+func (c *gatewayMetrics) RequestDelegated(outcome string) {
 	c.taggedCounter(c.delegations, "delegations", "end", outcome).Inc(1)
 }
 
-// TargetEnded implements gateway.Metrics.
-func (c *gatewayMetrics) TargetEnded(service string) {
-	c.taggedCounter(c.targetEnds, "target_ends", "service", service).Inc(1)
+// TargetCrashed implements gateway.Metrics.
+func (c *gatewayMetrics) TargetCrashed(service string) {
+	c.taggedCounter(c.targetCrashes, "target_ends", "service", service).Inc(1)
 }
 
 // setQuarantine updates the gauges of suspected and quarantined requests.
--- a/edge/gateway/ended.go
+++ b/edge/gateway/ended.go
@@ -85,7 +85,7 @@
 	planned := g.options.Balancer.IsLeaving(t)
 	g.logEnd(t, lost, err, ended, planned)
 	if ended && !planned {
-		g.options.Metrics.TargetEnded(t.Service)
+		g.options.Metrics.TargetCrashed(t.Service)
 		g.blame(key, lost)
 	}
 }
@@ -98,7 +98,7 @@
 	now := time.Now()
 	for _, l := range lost {
 		// 0 names no target.
-		g.options.Quarantine.Ended(now, l.fingerprint, placing.HashOf(key)|1)
+		g.options.Quarantine.TargetCrashed(now, l.fingerprint, placing.HashOf(key)|1)
 	}
 }
 
--- a/edge/placing/peers.go
+++ b/edge/placing/peers.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Peer is a report of another VM, on itself or on several VMs.
-type Peer struct {
-	// InFlight counts requests at targets, by KeyOf.
+// PeerReport is a report of another VM, on itself or on several VMs.
+type PeerReport struct {
+	// InFlight counts requests at targets, by TargetKey.
 	InFlight map[uint32]int
 	// Demand is the slots that callers' requests need, by region and service.
 	Demand map[string]map[string]float64
-	// Sum tells that these are the sums of several VMs.
-	Sum bool
-	At  time.Time
+	// Aggregated tells that these are the sums of several VMs.
+	Aggregated bool
+	At         time.Time
 }
 
-// SetPeer takes in what another VM reports; nil forgets it. A Peer is not changed
+// SetPeerReport takes in what another VM reports; nil forgets it. A Peer is not changed
 // afterwards.
-func (b *Balancer) SetPeer(now time.Time, name string, p *Peer) {
+func (b *Balancer) SetPeerReport(now time.Time, name string, p *PeerReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expirePeers(now)
@@ -25,10 +25,10 @@
 
 // replacePeer counts what a VM reports in place of its last report. Only the targets
 // that it names are touched.
-func (b *Balancer) replacePeer(name string, p *Peer) {
+func (b *Balancer) replacePeer(name string, p *PeerReport) {
 	if old := b.peers[name]; old != nil {
 		for key, n := range old.InFlight {
-			b.remoteAt(key).n -= n
+			b.remoteCountOf(key).n -= n
 		}
 		delete(b.peers, name)
 	}
@@ -37,14 +37,14 @@
 	}
 	b.peers[name] = p
 	for key, n := range p.InFlight {
-		b.remoteAt(key).n += n
+		b.remoteCountOf(key).n += n
 	}
 }
 
 // remoteCount is how many requests other VMs have in flight at a target.
 type remoteCount struct{ n int }
 
-func (b *Balancer) remoteAt(key uint32) *remoteCount {
+func (b *Balancer) remoteCountOf(key uint32) *remoteCount {
 	h := b.remote[key]
 	if h == nil {
 		h = &remoteCount{}
@@ -81,8 +81,8 @@
 func (b *Balancer) Report(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.reported.inFlight, b.reported.needs = b.localPart(now)
-	return b.reported.inFlight, b.reported.needs
+	b.lastReport.inFlight, b.lastReport.needs = b.localCounts(now)
+	return b.lastReport.inFlight, b.lastReport.needs
 }
 
 // report is what this VM reported last. It is not changed any more.
@@ -91,14 +91,14 @@
 	needs    map[string]float64
 }
 
-func (b *Balancer) localPart(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
+func (b *Balancer) localCounts(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
 	inFlight, needs = make(map[uint32]int), make(map[string]float64)
 	for name, s := range b.services {
 		s.demand.decay(now)
 		needs[name] = s.demand.slots
 		for _, t := range s.targets {
 			if t.local > 0 {
-				inFlight[KeyOf(t.hash)] += t.local
+				inFlight[TargetKey(t.hash)] += t.local
 			}
 		}
 	}
@@ -109,9 +109,9 @@
 // this VM reported last: its own requests would else count twice.
 func (b *Balancer) SetRegionSums(now time.Time, name string, inFlight map[uint32]int, needs map[string]float64) {
 	b.mu.Lock()
-	own := b.reported
+	own := b.lastReport
 	b.mu.Unlock()
-	others := &Peer{InFlight: make(map[uint32]int, len(inFlight)), Sum: true, At: now}
+	others := &PeerReport{InFlight: make(map[uint32]int, len(inFlight)), Aggregated: true, At: now}
 	for key, n := range inFlight {
 		if n -= own.inFlight[key]; n > 0 {
 			others.InFlight[key] = n
@@ -122,7 +122,7 @@
 		left[service] = max(0, slots-own.needs[service])
 	}
 	others.Demand = map[string]map[string]float64{b.options.Region: left}
-	b.SetPeer(now, name, others)
+	b.SetPeerReport(now, name, others)
 }
 
 // OtherRegionSums returns the sums of other regions' reports.
@@ -154,10 +154,10 @@
 func (b *Balancer) RegionSums(now time.Time) (inFlight map[uint32]int, needs map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	inFlight, needs = b.localPart(now)
+	inFlight, needs = b.localCounts(now)
 	for _, p := range b.peers {
 		services, near := p.Demand[b.options.Region]
-		if !near || p.Sum || now.Sub(p.At) >= peerTTL {
+		if !near || p.Aggregated || now.Sub(p.At) >= peerTTL {
 			continue
 		}
 		for key, n := range p.InFlight {
