--- a/edge/entry/crash_test.go
+++ b/edge/entry/crash_test.go
@@ -216,7 +216,7 @@
 	}
 	for _, v := range []*vm{vms[1], vms[2], joined} {
 		if status, _ := get(v.options.EntryAddress, "/p/other"); status != http.StatusOK {
-			t.Errorf("%s answers %d to another request", v.options.VM.Name, status)
+			t.Errorf("%s responds with %d to another request", v.options.VM.Name, status)
 		}
 	}
 }
@@ -271,7 +271,7 @@
 	}
 	for _, v := range vms {
 		if status, body := getWithKey(v.options.EntryAddress, bad, "key"); status != http.StatusServiceUnavailable || !strings.Contains(body, "quarantined") {
-			t.Errorf("%s answers %d %q", v.options.VM.Name, status, body)
+			t.Errorf("%s responds with %d %q", v.options.VM.Name, status, body)
 		}
 	}
 }
--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -63,7 +63,7 @@
 	callerServer *serve.Server
 	peerServer   *serve.Server
 	servers      []*serve.Server
-	leaving      atomic.Bool
+	shuttingDown atomic.Bool
 	digests      *peers.DigestMonitor
 	regionState  *regionState
 	stop         context.CancelFunc
@@ -246,7 +246,7 @@
 	names := e.members.WorkSharers(now)
 	e.regionState.setSharers(names)
 	e.balancer.SetVMs(names)
-	if live, known := e.members.LiveInDomain(now); known && !e.leaving.Load() {
+	if live, known := e.members.LiveInDomain(now); known && !e.shuttingDown.Load() {
 		e.owners.SetVMs(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
 	}
 	e.balancer.SetKeyOwnerCount(e.owners.EffectiveVMs())
@@ -256,7 +256,7 @@
 func (e *Entry) inFlight() int { return e.callerServer.InFlight() + e.peerServer.InFlight() }
 
 // serving reports whether the directory may send callers to this VM.
-func (e *Entry) serving() bool { return e.gateway.Ready() && !e.leaving.Load() }
+func (e *Entry) serving() bool { return e.gateway.Ready() && !e.shuttingDown.Load() }
 
 // maintain runs the periodic work until the context ends.
 func (e *Entry) maintain(ctx context.Context) {
@@ -294,7 +294,7 @@
 // drainPeriod and waits for those in flight, all within the grace period.
 func (e *Entry) Shutdown() {
 	began := time.Now()
-	e.leaving.Store(true)
+	e.shuttingDown.Store(true)
 	e.component("entry").WithField("busy", e.inFlight()).Info("entry: leaving")
 	e.exchange.Flush()
 	e.deregister()
--- a/edge/entry/entry_test.go
+++ b/edge/entry/entry_test.go
@@ -263,7 +263,7 @@
 		return body == b.options.EntryAddress
 	})
 	if status, _ := get(a.options.ReadyAddress, "/ready"); status != http.StatusServiceUnavailable {
-		t.Error("ready while leaving")
+		t.Error("ready during the shutdown")
 	}
 	if status, _ := get(a.options.EntryAddress, "/p/x"); status != http.StatusOK {
 		t.Errorf("%d for a caller with the old directory response", status)
@@ -284,9 +284,9 @@
 	for i := range vms {
 		all = append(all, f.start(fmt.Sprint("vm-", i), "n1", f.kv))
 	}
-	leaver := all[vms-1]
+	stopping := all[vms-1]
 	waitFor(t, "the directory never named all VMs", func() bool {
-		_, body := get(leaver.options.DirectoryAddress, "/resolve?zone=n1&region=n")
+		_, body := get(stopping.options.DirectoryAddress, "/resolve?zone=n1&region=n")
 		return strings.Count(body, ",") == vms-1
 	})
 	f.mu.Lock()
@@ -295,7 +295,7 @@
 	statuses := make(chan int, requests)
 	for i := range requests {
 		go func() {
-			status, _ := getWithKey(leaver.options.EntryAddress, "/p/x", fmt.Sprint("key-", i))
+			status, _ := getWithKey(stopping.options.EntryAddress, "/p/x", fmt.Sprint("key-", i))
 			statuses <- status
 		}()
 	}
@@ -304,7 +304,7 @@
 		defer f.mu.Unlock()
 		return f.served > 0
 	})
-	go leaver.Shutdown()
+	go stopping.Shutdown()
 	for range requests {
 		// The only target may be at capacity; a refusal is no lost request.
 		if status := <-statuses; status != http.StatusOK && status != http.StatusServiceUnavailable {
--- a/edge/entry/exchange.go
+++ b/edge/entry/exchange.go
@@ -65,7 +65,7 @@
 	now := time.Now()
 	at, _ := e.replica.At()
 	s := exchange.State{
-		VM: e.options.VM, Leaving: e.leaving.Load(), Serving: e.gateway.Ready(), StoreConnected: e.replica.Linked(),
+		VM: e.options.VM, Leaving: e.shuttingDown.Load(), Serving: e.gateway.Ready(), StoreConnected: e.replica.Linked(),
 		Revision: uint64(at), NoDigest: e.digests.Missing(now),
 		// Aggregated reports go to other regions, which already know their own events.
 		Events: e.quarantine.PendingEvents(now, !sum),
