--- a/control/decider/bench_test.go
+++ b/control/decider/bench_test.go
@@ -19,7 +19,7 @@
 
 var benchNodes = []int{10, 50, 150, 550}
 
-// The target's sizes: 6 regions with 17 failure domains and two services.
+// benchAccount has 6 regions with 17 failure domains and two services.
 func benchAccount() *model.Account {
 	a := &model.Account{Name: "bench", Revision: 1, Moves: model.MoveLimits{Share: 0.1, Window: time.Minute}}
 	for r := range 6 {
@@ -41,7 +41,7 @@
 func benchRegion(i int) model.RegionName { return model.RegionName(fmt.Sprintf("region-%d", i%6)) }
 func benchPlace(i int) model.PlaceName   { return model.PlaceName(fmt.Sprintf("place-%02d", i)) }
 
-// term is a decider in office over a fleet with steady demand.
+// term is an active decider of a fleet with steady demand.
 type term struct {
 	core     *Core
 	account  *model.Account
@@ -98,7 +98,7 @@
 	return r
 }
 
-// step makes the decisions of a second and settles their write.
+// step makes the decisions of one second and settles their write.
 func (t *term) step() bool {
 	t.now = t.now.Add(time.Second)
 	w, due := t.core.Step(t.account, t.now)
@@ -116,8 +116,8 @@
 	return response
 }
 
-// BenchmarkStep is the decider's work of one second, the reports not counted,
-// while nothing changes.
+// BenchmarkStep measures the work of one second without reports while nothing
+// changes.
 func BenchmarkStep(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -130,7 +130,7 @@
 	}
 }
 
-// BenchmarkRenew is the decider's work for one report.
+// BenchmarkRenew measures the work for one report.
 func BenchmarkRenew(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -143,8 +143,8 @@
 	}
 }
 
-// A decider must take no more reports a second than it is set for: with more
-// nodes, each reports less often.
+// Large fleets must not exceed the decider's report rate: with more nodes, each
+// reports less often.
 func TestReportsOfALargeFleetAreSpread(t *testing.T) {
 	for _, nodes := range benchNodes {
 		fleet := newTerm(t, nodes)
@@ -159,13 +159,13 @@
 		if fleet.step() {
 			t.Errorf("%d nodes: a steady second wrote", nodes)
 		}
-		whole, answer := proto.Size(fleet.requests[0]), proto.Size(steady)
+		full, answer := proto.Size(fleet.requests[0]), proto.Size(steady)
 		fleet.requests[0].Places = nil
 		fleet.requests[0].PlacesSame = true
-		brief := proto.Size(fleet.requests[0])
-		// A steady node names its places in one report of four.
-		each := float64(whole+3*brief)/4 + float64(answer)
+		compact := proto.Size(fleet.requests[0])
+		// A steady node sends its places in one report of four.
+		each := float64(full+3*compact)/4 + float64(answer)
 		t.Logf("%d nodes, 34 keys: every %d ms a report of %d or %d bytes, answer %d: %.0f bytes/s a node, %.0f at the decider",
-			nodes, steady.NextMs, whole, brief, answer, each*1000/float64(steady.NextMs), each*perSecond)
+			nodes, steady.NextMs, full, compact, answer, each*1000/float64(steady.NextMs), each*perSecond)
 	}
 }
--- a/control/decider/core.go
+++ b/control/decider/core.go
@@ -1,7 +1,7 @@
-// Package decider runs the decisions of one client account on the node that
-// holds its lease: it makes the plan, accounts for grants in the ledger and
-// answers the reports of all nodes. Core is the pure part, driven by events
-// with the time passed in; Runner does the I/O.
+// Package decider makes the decisions for one client account on the node that holds
+// its lease: it plans traffic, accounts for grants in the ledger and answers the
+// reports of all nodes. Core is a state machine without I/O that is given the time;
+// Runner does the I/O.
 package decider
 
 import (
@@ -23,62 +23,62 @@
 	Ledger   ledger.Params
 	Allocate allocate.Params
 	Planner  Planner
-	// ReportsPerSecond bounds the reports a decider takes: with more nodes
-	// each reports less often.
+	// ReportsPerSecond limits the reports that a decider receives: in larger fleets
+	// each node reports less often.
 	ReportsPerSecond int
 }
 
-// DefaultReportsPerSecond is how many reports a second a decider takes.
+// DefaultReportsPerSecond is the default for Options.ReportsPerSecond.
 const DefaultReportsPerSecond = 200
 
-// ErrSuperseded tells that another decider has written the ledger: this one must
-// give up its lease.
+// ErrSuperseded is returned when another decider has written the ledger; this one
+// must give up its lease.
 var ErrSuperseded = errors.New("decider: another decider took over")
 
-// Write is a write of the ledger that is due.
+// Write is a pending write of the ledger.
 type Write struct {
 	Value    []byte
 	Expected store.Revision
 }
 
-// Core decides for one account during one term of a lease. It is not safe for
-// use by several goroutines.
+// Core decides for one account during one lease term. It is not safe for concurrent
+// use.
 type Core struct {
-	options  Options
-	account  *model.Account
-	ledger   *ledger.Ledger
-	revision store.Revision
-	since    time.Time
-	reports  map[grant.NodeID]*reported
-	// nodes finds the nodes heard in this term by the hash of what names them. Two
-	// nodes with one hash leave an empty one.
-	nodes    map[uint64]ledger.Node
-	previous *plan.Plan
-	sequence uint64
-	planned  PlannerOutput
-	// uncertain tells that one attempt at the pending write had an unknown
-	// outcome, so that no later answer can tell that it did not happen.
-	uncertain bool
-	// ready is a plan whose write is settled and which is to be published.
-	ready *plan.Plan
-	lost  bool
-	// index finds the ledger index of a key.
+	options   Options
+	account   *model.Account
+	ledger    *ledger.Ledger
+	revision  store.Revision
+	termStart time.Time
+	reports   map[grant.NodeID]*nodeState
+	// nodesByHash maps the hash of a node's identity to the node, for nodes that
+	// reported in this term. Nodes whose hashes collide map to the zero Node.
+	nodesByHash   map[uint64]ledger.Node
+	latestPlan    *plan.Plan
+	sequence      uint64
+	plannerOutput PlannerOutput
+	// writeUncertain is set after an attempt at the pending write had an unknown
+	// outcome: that attempt may have succeeded even if a later one fails.
+	writeUncertain bool
+	// committedPlan is the plan in the last settled write, ready to be published.
+	committedPlan *plan.Plan
+	superseded    bool
+	// index maps a key to its ledger index.
 	index map[ledger.Key]int
-	// keysHash is the hash of the names of the first keysHashed keys.
+	// keysHash is the hash of the names of the first hashedKeys keys.
 	keysHash   uint64
-	keysHashed int
+	hashedKeys int
 }
 
-// NewCore takes over at now. entry is the stored ledger, or the zero Entry when
-// there is none. The account must not be nil.
+// NewCore starts a lease term at now. entry is the stored ledger, or the zero Entry
+// if there is none. account must not be nil.
 func NewCore(options Options, account *model.Account, epoch uint64, entry store.Entry, now time.Time) (*Core, error) {
 	c := &Core{
-		options:  options,
-		account:  account,
-		revision: entry.Revision,
-		since:    now,
-		reports:  make(map[grant.NodeID]*reported),
-		nodes:    make(map[uint64]ledger.Node),
+		options:     options,
+		account:     account,
+		revision:    entry.Revision,
+		termStart:   now,
+		reports:     make(map[grant.NodeID]*nodeState),
+		nodesByHash: make(map[uint64]ledger.Node),
 	}
 	limits := ledger.LimitsOf(account)
 	if entry.Revision == 0 {
@@ -109,28 +109,28 @@
 	if err := json.Unmarshal(stored.Body, p); err != nil {
 		return errors.Wrap(err, "decider: stored plan")
 	}
-	c.previous = p
+	c.latestPlan = p
 	return nil
 }
 
 // Epoch returns the fencing token of the term.
 func (c *Core) Epoch() uint64 { return c.ledger.Epoch() }
 
-// Ledger gives access to the ledger, for checks and status.
+// Ledger returns the ledger, for checks and status.
 func (c *Core) Ledger() *ledger.Ledger { return c.ledger }
 
-// PlannerOutput returns the last result of the planner.
-func (c *Core) PlannerOutput() PlannerOutput { return c.planned }
+// PlannerOutput returns the latest output of the planner.
+func (c *Core) PlannerOutput() PlannerOutput { return c.plannerOutput }
 
-// ObserveVMs takes in a reading of the VM list that was made at readAt.
+// ObserveVMs records a VM list that was read at readAt.
 func (c *Core) ObserveVMs(list []ledger.Listed, sequence uint64, readAt time.Time) {
 	c.ledger.Observe(list, sequence, readAt)
 }
 
-// Step makes the decisions due at now and returns the write that must be made
-// before any of them takes effect; ok is false when none is due.
+// Step makes the decisions due at now and returns the ledger write that must succeed
+// before any of them takes effect. ok is false if no write is due.
 func (c *Core) Step(account *model.Account, now time.Time) (w Write, ok bool) {
-	if c.lost {
+	if c.superseded {
 		return Write{}, false
 	}
 	if !c.ledger.Pending() {
@@ -139,10 +139,10 @@
 	return c.propose(now)
 }
 
-// Reallocate gives what is free to nodes that are short, without a new plan: its
-// outcome is that of Step.
+// Reallocate grants free capacity to nodes that are short of it, without a new plan.
+// It returns a write like Step.
 func (c *Core) Reallocate(now time.Time) (w Write, ok bool) {
-	if c.lost {
+	if c.superseded {
 		return Write{}, false
 	}
 	if !c.ledger.Pending() {
@@ -151,8 +151,8 @@
 	return c.propose(now)
 }
 
-// propose returns the write that the ledger needs before anything of it may be
-// sent; ok is false when it needs none.
+// propose returns the write that must succeed before any new ledger state is sent;
+// ok is false if none is needed.
 func (c *Core) propose(now time.Time) (w Write, ok bool) {
 	value := c.ledger.Propose(now)
 	if value == nil {
@@ -165,26 +165,26 @@
 	if c.ledger.SetLimits(ledger.LimitsOf(account)) {
 		c.account = account
 	}
-	c.forget(now)
+	c.forgetRemoved(now)
 	c.makePlan(now)
 	c.allocate(now)
 }
 
 func (c *Core) makePlan(now time.Time) {
-	reports, unheard := c.observed(now)
-	c.planned = c.options.Planner.Plan(PlannerInput{
+	reports, unreported := c.nodeReports(now)
+	c.plannerOutput = c.options.Planner.Plan(PlannerInput{
 		Account:         c.account,
 		Reports:         reports,
-		UnreportedNodes: unheard,
+		UnreportedNodes: unreported,
 		PermittedRPS: func(id grant.NodeID, service model.ServiceName) float64 {
 			return c.ledger.Permitted(id, service, now).RPS()
 		},
-		Previous:  c.previous,
+		Previous:  c.latestPlan,
 		Moves:     c.ledger.Moves(),
 		Now:       now,
-		TermStart: c.since,
+		TermStart: c.termStart,
 	})
-	if c.previous != nil && sameFlows(c.previous.Flows, c.planned.Flows) && c.previous.Epoch == c.Epoch() {
+	if c.latestPlan != nil && sameFlows(c.latestPlan.Flows, c.plannerOutput.Flows) && c.latestPlan.Epoch == c.Epoch() {
 		return
 	}
 	c.sequence++
@@ -193,77 +193,78 @@
 		ConfigRevision: c.account.Revision,
 		Epoch:          c.Epoch(),
 		Sequence:       c.sequence,
-		Flows:          c.planned.Flows,
+		Flows:          c.plannerOutput.Flows,
 	}
 	body, err := json.Marshal(next)
 	if err != nil {
 		return
 	}
 	window := c.account.Moves.Window
-	c.ledger.SetPlan(ledger.Plan{Body: body, Sequence: c.sequence}, c.planned.Moves, window, moveMemory*window, now)
-	c.previous = next
+	c.ledger.SetPlan(ledger.Plan{Body: body, Sequence: c.sequence}, c.plannerOutput.Moves, window, moveHistoryWindows*window, now)
+	c.latestPlan = next
 }
 
-// Settle takes in the outcome of the last write: the revision, or the error of
-// store.KV.Swap. It returns ErrSuperseded when another decider has written, and
-// ErrUnresolvedWrite when Resolve must be called with the stored entry.
+// Settle handles the result of the last write: the revision, or the error of
+// store.KV.Swap. It returns ErrSuperseded if another decider has written, and
+// ErrUnresolvedWrite if Resolve must be called with the stored entry.
 func (c *Core) Settle(revision store.Revision, err error) error {
 	switch {
 	case err == nil:
-		c.written(revision)
+		c.writeSettled(revision)
 		return nil
-	case store.IsConflict(err) && c.uncertain:
+	case store.IsConflict(err) && c.writeUncertain:
 		return ErrUnresolvedWrite
 	case store.IsConflict(err):
-		c.lost = true
+		c.superseded = true
 		return ErrSuperseded
-	case errors.Is(err, store.ErrUnavailable) && !c.uncertain:
+	case errors.Is(err, store.ErrUnavailable) && !c.writeUncertain:
 		return nil
 	case c.options.Ledger.Faults.UnknownIsFailed:
 		c.ledger.NotWritten()
 		return nil
 	default:
-		c.uncertain = true
+		c.writeUncertain = true
 		return nil
 	}
 }
 
-// ErrUnresolvedWrite tells that the outcome of an earlier attempt must be read back.
-var ErrUnresolvedWrite = errors.New("decider: read the ledger back")
+// ErrUnresolvedWrite is returned when the stored ledger must be read to learn the
+// outcome of an earlier write.
+var ErrUnresolvedWrite = errors.New("decider: outcome of the ledger write is unknown")
 
-// Resolve settles a write with a conflict after a lost answer: the stored
-// ledger bears its stamp if it took effect.
+// Resolve settles a write that got a conflict after an attempt with unknown outcome:
+// it succeeded if the stored ledger carries its stamp.
 func (c *Core) Resolve(entry store.Entry) error {
 	stamp, err := ledger.StampOf(entry.Value)
 	if err != nil {
 		return err
 	}
 	if stamp != c.ledger.Stamp() {
-		c.lost = true
+		c.superseded = true
 		return ErrSuperseded
 	}
-	c.written(entry.Revision)
+	c.writeSettled(entry.Revision)
 	return nil
 }
 
-func (c *Core) written(revision store.Revision) {
+func (c *Core) writeSettled(revision store.Revision) {
 	c.revision = revision
-	c.uncertain = false
+	c.writeUncertain = false
 	c.ledger.Written()
-	if !c.ledger.Unsaved() && c.previous != nil && c.previous.Epoch == c.Epoch() {
-		c.ready = c.previous
+	if !c.ledger.Unsaved() && c.latestPlan != nil && c.latestPlan.Epoch == c.Epoch() {
+		c.committedPlan = c.latestPlan
 	}
 }
 
-// CommittedPlan returns the plan in force. Before its write is settled it returns
-// the one before, nil if there is none of this term.
-func (c *Core) CommittedPlan() *plan.Plan { return c.ready }
+// CommittedPlan returns the plan of the last settled write, nil if there is none in
+// this term.
+func (c *Core) CommittedPlan() *plan.Plan { return c.committedPlan }
 
-// MarkPublished notes that the plan of Publish has been given out by now. It must
-// be called after that and before the next Step. While a newer plan waits for
-// its write it does nothing: the moves of that plan have not begun.
+// MarkPublished records that CommittedPlan had been sent to the nodes by now. It
+// must be called after sending it and before the next Step. It does nothing while a
+// newer plan waits for its write, because the moves of that plan have not begun.
 func (c *Core) MarkPublished(now time.Time) {
-	if c.ready == nil || c.ready != c.previous {
+	if c.committedPlan == nil || c.committedPlan != c.latestPlan {
 		return
 	}
 	c.ledger.Published(now)
--- a/control/decider/nearest.go
+++ b/control/decider/nearest.go
@@ -9,9 +9,9 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// Nearest is a Planner that sends each flow to the nearest region with
-// capacity and splits it there by capacity. It serves as a baseline and in
-// tests; it keeps no cap on moves beyond reporting them.
+// Nearest is a Planner that sends each flow to the nearest region with capacity and
+// splits it there in proportion to capacity. It is a baseline and a planner for
+// tests; it reports moves but does not limit them.
 type Nearest struct{}
 
 // Plan implements Planner.
@@ -72,7 +72,7 @@
 	return sum
 }
 
-// unknownDelay stands for a delay that is not configured.
+// unknownDelay is assumed for regions without a configured delay.
 const unknownDelay = time.Hour
 
 func delayTo(from *model.Region, to model.RegionName) time.Duration {
@@ -87,8 +87,8 @@
 	return unknownDelay
 }
 
-// movesOf lists the changes of shares between two plans; flows that were not
-// there before have moved nothing.
+// movesOf returns the changes of shares between two plans. New flows do not count as
+// moves.
 func movesOf(previous *plan.Plan, flows []plan.Flow) []ledger.Move {
 	if previous == nil {
 		return nil
--- a/control/decider/planner.go
+++ b/control/decider/planner.go
@@ -10,38 +10,37 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// NodeReport is the last report of one node and its age.
+// NodeReport is the last report of one node and the age of its measurements.
 type NodeReport struct {
 	Report observe.Report
 	Age    time.Duration
 }
 
-// PlannerInput is what a plan is made from.
+// PlannerInput is the input of a Planner.
 type PlannerInput struct {
 	Account *model.Account
 	Reports []NodeReport
-	// UnreportedNodes are the nodes on record that have not reported to this decider.
+	// UnreportedNodes are known nodes that have not reported in this term.
 	UnreportedNodes []grant.NodeID
-	// PermittedRPS returns the rate, in requests per second, that the grants in
-	// force let a node send for a service; nil when it is not known.
+	// PermittedRPS returns the request rate that the grants in force permit a node
+	// for a service; nil if unknown.
 	PermittedRPS func(grant.NodeID, model.ServiceName) float64
 	Previous     *plan.Plan
-	// Moves are those made lately, by whichever decider.
+	// Moves are the recent moves, including those of earlier deciders.
 	Moves []ledger.Move
 	Now   time.Time
-	// TermStart is when this decider took over: a report that is missing may not
-	// have had the time to arrive before it.
+	// TermStart is when the term of this decider began. Shortly after it, reports
+	// may be missing because they have not arrived yet.
 	TermStart time.Time
 }
 
-// PlannerOutput is the result of a Planner.
+// PlannerOutput is the output of a Planner.
 type PlannerOutput struct {
-	// Flows is the next plan; it is equal to the previous one when nothing is
-	// to change.
+	// Flows is the next plan. It equals the previous one if nothing changes.
 	Flows []plan.Flow
-	// Moves are the changes of shares that the plan makes.
+	// Moves are the changes of shares in this plan.
 	Moves []ledger.Move
-	// Explanation tells why, for operators.
+	// Explanation gives the reasons for the plan to operators.
 	Explanation any
 }
 
@@ -50,5 +49,5 @@
 	Plan(PlannerInput) PlannerOutput
 }
 
-// moveMemory is for how many windows of the move cap moves are remembered.
-const moveMemory = 16
+// moveHistoryWindows is how many windows of the move cap past moves are kept.
+const moveHistoryWindows = 16
--- a/control/decider/renew.go
+++ b/control/decider/renew.go
@@ -11,11 +11,11 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// leastInterval is the shortest time between two reports of a node.
-const leastInterval = time.Second
+// minReportInterval is the shortest time between two reports of a node.
+const minReportInterval = time.Second
 
-// Renew takes in a report received at now and answers it. The caller must have
-// found the lease held after it received the report.
+// Renew records a report received at now and answers it. The caller must have
+// checked after receiving the report that the lease is held.
 func (c *Core) Renew(request *peerpb.RenewRequest, now time.Time) *peerpb.RenewResponse {
 	if response, _ := c.RecordReport(request, now); response != nil {
 		return response
@@ -23,18 +23,19 @@
 	return c.Respond(request, now)
 }
 
-// RecordReport takes in a report received at now. A response that is not nil is the
-// answer. With nil the caller answers by Answer, after the next step if hold is
-// set: the node is short, and an answer now would tell it nothing. The caller must
-// have found the lease held after it received the report.
+// RecordReport records a report received at now. If response is not nil, it is the
+// answer. Otherwise the caller answers with Respond: after the next step if hold is
+// set, because the node is short of capacity and an immediate answer would give it
+// none. The caller must have checked after receiving the report that the lease is
+// held.
 func (c *Core) RecordReport(request *peerpb.RenewRequest, now time.Time) (response *peerpb.RenewResponse, hold bool) {
-	if c.lost || request.AppliedEpoch > c.Epoch() {
-		// The node has heard a newer decider: this one was replaced without
-		// noticing.
-		c.lost = true
+	if c.superseded || request.AppliedEpoch > c.Epoch() {
+		// The node has applied a set of a newer decider, which has replaced this
+		// one.
+		c.superseded = true
 		return &peerpb.RenewResponse{Code: uint32(result.NotLeader)}, false
 	}
-	node, code := c.nodeOf(request)
+	node, code := c.requestNode(request)
 	if code != result.OK {
 		return &peerpb.RenewResponse{Code: uint32(code)}, false
 	}
@@ -45,31 +46,31 @@
 		return &peerpb.RenewResponse{Epoch: c.Epoch()}, false
 	}
 	c.ledger.SetLeaving(node.ID, request.Leaving)
-	complete := c.report(reportOf(request, node), request, now)
+	complete := c.storeReport(reportOf(request, node), request, now)
 	r := c.reports[node.ID]
 	r.incomplete = !complete
 	if request.NodeKey == 0 {
-		c.remember(request.Node, node, r)
+		c.rememberNode(request.Node, node, r)
 	}
 	return nil, request.Short
 }
 
-// Respond answers a report that Take has taken in, at now. The caller must have
-// found the lease held after it received the report: the surplus counts from
-// when the node sent it, and so ends within one time to live of the lease
+// Respond answers a report that RecordReport has recorded. The caller must have
+// checked after receiving the report that the lease is held: the surplus counts from
+// when the node sent it, so it expires within one surplus time to live of the lease
 // however long the answer was held.
 func (c *Core) Respond(request *peerpb.RenewRequest, now time.Time) *peerpb.RenewResponse {
-	if c.lost {
+	if c.superseded {
 		return &peerpb.RenewResponse{Code: uint32(result.NotLeader)}
 	}
-	node, code := c.nodeOf(request)
+	node, code := c.requestNode(request)
 	if code != result.OK {
 		return &peerpb.RenewResponse{Code: uint32(code)}
 	}
-	return c.answer(request, node, now)
+	return c.respond(request, node, now)
 }
 
-func (c *Core) answer(request *peerpb.RenewRequest, node ledger.Node, now time.Time) *peerpb.RenewResponse {
+func (c *Core) respond(request *peerpb.RenewRequest, node ledger.Node, now time.Time) *peerpb.RenewResponse {
 	issued, ok := c.ledger.Issue(node.ID, now)
 	if !ok {
 		return &peerpb.RenewResponse{Code: uint32(result.NotLeader)}
@@ -78,7 +79,7 @@
 		Epoch:        issued.Epoch,
 		Sequence:     issued.Sequence,
 		SurplusTtlMs: uint32(issued.TTL.Milliseconds()),
-		NextMs:       uint32(c.interval().Milliseconds()),
+		NextMs:       uint32(c.reportInterval().Milliseconds()),
 	}
 	r := c.reports[node.ID]
 	response.ReportNames = r != nil && r.incomplete
@@ -86,33 +87,34 @@
 		response.Unchanged = true
 		return response
 	}
-	// With a set that it does not have yet the node does not rest.
+	// A node with a new set to acknowledge does not stay at the steady interval.
 	if r != nil {
-		r.rest = 0
+		r.steadyFor = 0
 	}
-	if r != nil && c.hasKeys(request, r) {
+	if r != nil && c.knowsKeys(request, r) {
 		c.fillAmounts(response, issued.Amounts)
 		return response
 	}
 	c.fillGrants(response, issued.Amounts)
 	if r != nil {
-		r.keys, r.keysFrom = c.hashKeys(), issued.Sequence
+		r.keysHash, r.keysSequence = c.hashKeys(), issued.Sequence
 	}
 	return response
 }
 
-// hasKeys reports whether a node has the names of all keys: it has acknowledged a
-// set since it was told them in this term. One that names itself by words may be
-// of a version that does not know grants without names.
-func (c *Core) hasKeys(request *peerpb.RenewRequest, r *reported) bool {
+// knowsKeys reports whether a node knows the names of all keys: it has acknowledged
+// a set since they were sent in this term. A node that sends its full identity may
+// run a version that does not support grants without names.
+func (c *Core) knowsKeys(request *peerpb.RenewRequest, r *nodeState) bool {
 	return request.NodeKey != 0 && !request.GrantNames && request.AppliedEpoch == c.Epoch() &&
-		r.keysFrom != 0 && request.AppliedSequence >= r.keysFrom && r.keys == c.hashKeys()
+		r.keysSequence != 0 && request.AppliedSequence >= r.keysSequence && r.keysHash == c.hashKeys()
 }
 
-// hashKeys returns the hash of the names of all keys. Keys are only ever added.
+// hashKeys returns the hash of the names of all keys. Keys are only ever appended,
+// so their number identifies the cached hash.
 func (c *Core) hashKeys() uint64 {
 	keys := c.ledger.Keys()
-	if c.keysHashed == len(keys) && c.keysHash != 0 {
+	if c.hashedKeys == len(keys) && c.keysHash != 0 {
 		return c.keysHash
 	}
 	hash := names.NewHasher()
@@ -120,7 +122,7 @@
 		hash.Add(string(key.Service))
 		hash.Add(string(key.Place))
 	}
-	c.keysHash, c.keysHashed = hash.Sum(), len(keys)
+	c.keysHash, c.hashedKeys = hash.Sum(), len(keys)
 	return c.keysHash
 }
 
@@ -145,42 +147,39 @@
 	}
 }
 
-func (c *Core) interval() time.Duration {
+func (c *Core) reportInterval() time.Duration {
 	perSecond := max(c.options.ReportsPerSecond, 1)
-	return max(leastInterval, time.Duration(len(c.reports))*time.Second/time.Duration(perSecond))
+	return max(minReportInterval, time.Duration(len(c.reports))*time.Second/time.Duration(perSecond))
 }
 
-// nodeOf returns the node that a request is of, by its words or by the hash of
-// those it was told before in this term.
-//
-// Guard against a request that is taken for another node's: the acknowledgement of
-// the one would free what the other has in force. The hash covers all that names
-// the life of a node; where two are the same neither is taken.
-func (c *Core) nodeOf(request *peerpb.RenewRequest) (ledger.Node, result.Code) {
+// requestNode returns the node that sent a request, identified by its full identity
+// or by the hash of one sent earlier in this term. A request attributed to the wrong
+// node would free grants still in use, so colliding hashes are rejected.
+func (c *Core) requestNode(request *peerpb.RenewRequest) (ledger.Node, result.Code) {
 	if request.NodeKey != 0 {
-		node := c.nodes[request.NodeKey]
+		node := c.nodesByHash[request.NodeKey]
 		if node.ID.VM == "" || request.AppliedEpoch != c.Epoch() {
 			return ledger.Node{}, result.UnknownNode
 		}
 		return node, result.OK
 	}
-	node := nodeOf(request.Node)
+	node := nodeFromRef(request.Node)
 	if node.ID.VM == "" {
 		return ledger.Node{}, result.BadRequest
 	}
 	return node, result.OK
 }
 
-// remember notes the hash of a node that named itself.
-func (c *Core) remember(ref *peerpb.NodeRef, node ledger.Node, r *reported) {
-	r.key = names.Node(ref)
-	if other, ok := c.nodes[r.key]; ok && other != node {
+// rememberNode stores the hash of a node's identity.
+func (c *Core) rememberNode(ref *peerpb.NodeRef, node ledger.Node, r *nodeState) {
+	r.nodeHash = names.Node(ref)
+	if other, ok := c.nodesByHash[r.nodeHash]; ok && other != node {
 		node = ledger.Node{}
 	}
-	c.nodes[r.key] = node
+	c.nodesByHash[r.nodeHash] = node
 }
 
-func nodeOf(ref *peerpb.NodeRef) ledger.Node {
+func nodeFromRef(ref *peerpb.NodeRef) ledger.Node {
 	return ledger.Node{
 		ID:      nodeID(ref.GetVm(), ref.GetIncarnation()),
 		Region:  model.RegionName(ref.GetRegion()),
--- a/control/decider/renew_test.go
+++ b/control/decider/renew_test.go
@@ -13,30 +13,30 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Without the plan that a node has reached, the planner cannot tell that it
-// lags, and lets more than the cap move when its callers go elsewhere.
-func TestReportNamesThePlanReached(t *testing.T) {
+// The planner needs the plan that a node has reached to detect lagging nodes and
+// enforce the move cap.
+func TestReportCarriesPlanReached(t *testing.T) {
 	report := reportOf(&peerpb.RenewRequest{PlanEpoch: 3, PlanSequence: 4}, ledger.Node{})
 	if report.PlanEpoch != 3 || report.PlanSequence != 4 {
 		t.Fatalf("report %+v", report)
 	}
 }
 
-// lastSituation keeps what it is asked.
-type lastSituation struct{ PlannerInput }
+// recordingPlanner keeps its last input.
+type recordingPlanner struct{ PlannerInput }
 
-func (l *lastSituation) Plan(s PlannerInput) PlannerOutput {
+func (l *recordingPlanner) Plan(s PlannerInput) PlannerOutput {
 	l.PlannerInput = s
 	return Nearest{}.Plan(s)
 }
 
-// The decider changes while a VM is cut off. The planner must hear of the VM, as
-// its callers may come to others at any moment.
-func TestNewDeciderNamesTheUnheard(t *testing.T) {
+// A new decider must list known nodes that have not reported, because their callers
+// may move to other nodes.
+func TestNewDeciderListsUnreportedNodes(t *testing.T) {
 	old := newTerm(t, 2)
 	old.core.Ledger().Rewrite(old.now)
 	entry := store.Entry{Value: old.core.Ledger().Propose(old.now), Revision: 1}
-	var planner lastSituation
+	var planner recordingPlanner
 	options := Options{Ledger: ledger.DefaultParams(), Allocate: allocate.DefaultParams(), Planner: &planner, ReportsPerSecond: 1}
 	core, err := NewCore(options, old.account, 2, entry, old.now)
 	if err != nil {
@@ -46,16 +46,15 @@
 	next := term{core: core, account: old.account, now: old.now}
 	next.step()
 	next.step()
-	silent := nodeOf(old.requests[1].Node).ID
+	silent := nodeFromRef(old.requests[1].Node).ID
 	if len(planner.Reports) != 1 || len(planner.UnreportedNodes) != 1 || planner.UnreportedNodes[0] != silent {
-		t.Fatalf("%d reports, unheard %v, want 1 and %v", len(planner.Reports), planner.UnreportedNodes, silent)
+		t.Fatalf("%d reports, unreported %v, want 1 and %v", len(planner.Reports), planner.UnreportedNodes, silent)
 	}
 }
 
-// A node with steady callers rests, and is lost. Until its next report is due the
-// plan must count what it told as measured now, as for one that reports each
-// second; from then on its silence must widen the margins like that of any other.
-func TestSilenceOfANodeAtRestIsNoticed(t *testing.T) {
+// The measurements of a node at the steady interval must count as recent until its
+// next report is overdue, and then age like any other.
+func TestSilenceOfASteadyNodeIsNoticed(t *testing.T) {
 	old := newTerm(t, 1)
 	request := old.requests[0]
 	request.RestMs = 10_000
@@ -67,22 +66,21 @@
 		{8 * time.Second, time.Second},
 		{12 * time.Second, 12 * time.Second},
 	} {
-		reports, _ := old.core.observed(old.now.Add(c.after))
+		reports, _ := old.core.nodeReports(old.now.Add(c.after))
 		if len(reports) != 1 || reports[0].Age != c.want {
 			t.Errorf("after %v: %+v", c.after, reports)
 		}
 	}
 	request.RestMs = 0
 	old.renew(request)
-	if reports, _ := old.core.observed(old.now.Add(8 * time.Second)); reports[0].Age != 8*time.Second {
+	if reports, _ := old.core.nodeReports(old.now.Add(8 * time.Second)); reports[0].Age != 8*time.Second {
 		t.Errorf("a node that promised nothing: age %v", reports[0].Age)
 	}
 }
 
-// A node names itself by a hash to a decider that was changed, or that has heard of
-// another node with that hash. Taken for the other's, its acknowledgement would free
-// what the other still has in force.
-func TestNodesWithoutWords(t *testing.T) {
+// A node identified by an unknown or colliding hash must be rejected, or its
+// acknowledgement could free another node's grants.
+func TestNodesIdentifiedByHash(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Core, *peerpb.RenewRequest)
@@ -95,17 +93,17 @@
 		{"unknown", func(_ *Core, r *peerpb.RenewRequest) { r.NodeKey++ }, result.UnknownNode, false},
 		{"other term", func(_ *Core, r *peerpb.RenewRequest) { r.AppliedEpoch = 0 }, result.UnknownNode, false},
 		{"two nodes", func(core *Core, r *peerpb.RenewRequest) {
-			core.remember(r.Node, ledger.Node{ID: nodeID("other", 1)}, &reported{})
+			core.rememberNode(r.Node, ledger.Node{ID: nodeID("other", 1)}, &nodeState{})
 		}, result.UnknownNode, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			term := newTerm(t, 2)
 			request := term.requests[1]
-			id := nodeOf(request.Node).ID
+			id := nodeFromRef(request.Node).ID
 			request.NodeKey = names.Node(request.Node)
 			c.change(term.core, request)
 			request.Node = nil
-			// Other amounts, so that they are sent.
+			// Changed amounts, so that the response contains them.
 			term.core.Ledger().Want(id, make([]ledger.Amounts, len(term.core.Ledger().Keys())))
 			response := term.core.Renew(request, term.now)
 			if response.Code != uint32(c.want) {
@@ -119,10 +117,10 @@
 	}
 }
 
-// Two reports of a node overtake each other while its places change. The decider
-// must not take the load of one place for that of another.
+// After reordered reports the decider must not assign the load of one place to
+// another.
 func TestPlacesWithoutNames(t *testing.T) {
-	var old reported
+	var old nodeState
 	take := func(request *peerpb.RenewRequest) []observe.PlaceLoad {
 		r := reportOf(request, ledger.Node{})
 		old.namePlaces(&r, request)
--- a/control/decider/runner.go
+++ b/control/decider/runner.go
@@ -16,7 +16,7 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Lease tells whether the account's lease is held, and its epoch.
+// Lease reports whether the account's lease is held, and its epoch.
 type Lease interface {
 	Held() (epoch uint64, ok bool)
 }
@@ -30,16 +30,17 @@
 	Account model.AccountName
 	KV      store.KV
 	Lease   Lease
-	// Configured returns the account in force on this node, nil for none.
+	// Configured returns the account's configuration in force on this node, nil for
+	// none.
 	Configured func() *model.Account
-	// VMList returns the last reading of the VM list, its sequence and age; ok is
-	// false while there is none.
+	// VMList returns the last VM list, its sequence and its age; ok is false if
+	// there is none.
 	VMList func() (list []ledger.Listed, sequence uint64, age time.Duration, ok bool)
 	// Publish sends a plan to all nodes. It must not wait for them.
 	Publish func(*plan.Plan)
-	// HastenNode asks a node to report; it must not wait for the node.
+	// HastenNode asks a node to report. It must not wait for the node.
 	HastenNode func(node ledger.Node, epoch uint64)
-	// RequestReallocation asks for a call of Reallocate soon; it must not block.
+	// RequestReallocation schedules a call of Reallocate. It must not block.
 	RequestReallocation func()
 	Clock               func() time.Time
 	Logger              logrus.FieldLogger
@@ -47,15 +48,15 @@
 	CallTimeout time.Duration
 }
 
-// DefaultCallTimeout bounds a call to the store.
+// DefaultCallTimeout is the default for RunnerOptions.CallTimeout.
 const DefaultCallTimeout = 2 * time.Second
 
-// holdTime bounds how long the answer to a node that is short waits for the
-// next step. It is below the time after which a node takes no answer.
-const holdTime = 1500 * time.Millisecond
+// maxHoldTime limits how long the answer to a node short of capacity waits for the
+// next step. It is shorter than the request timeout of a node.
+const maxHoldTime = 1500 * time.Millisecond
 
-// Runner does the I/O of a Core: it takes over when the lease is won, writes
-// the ledger and publishes plans. It makes at most one write a step.
+// Runner does the I/O of a Core: it starts a term when the lease is acquired, writes
+// the ledger and publishes plans. It makes at most one write per step.
 type Runner struct {
 	options RunnerOptions
 
@@ -64,46 +65,46 @@
 	core      *Core
 	published *plan.Plan
 	writes    uint64
-	// next is closed when a step that has not begun yet has ended: it decides
-	// with all reports taken in so far.
-	next chan struct{}
+	// nextStep is closed when the next step to begin has ended. That step considers
+	// all reports recorded so far.
+	nextStep chan struct{}
 }
 
-// NewRunner returns a runner that decides nothing yet.
+// NewRunner returns a runner that is not deciding.
 func NewRunner(options RunnerOptions) *Runner {
-	return &Runner{options: options, next: make(chan struct{})}
+	return &Runner{options: options, nextStep: make(chan struct{})}
 }
 
-// Step does the work due now. It must be called by one goroutine, each second.
-// An error means that the term is over and the lease is to be given up.
+// Step does the work due now. It must be called once a second, always by the same
+// goroutine. An error means that the term is over and the lease must be given up.
 func (r *Runner) Step(ctx context.Context) error {
 	defer close(r.beginStep())
 	epoch, held := r.options.Lease.Held()
 	account := r.options.Configured()
 	if !held || account == nil {
-		r.end()
+		r.endTerm()
 		return nil
 	}
 	if !r.deciding(epoch) {
-		if err := r.begin(ctx, epoch, account); err != nil {
+		if err := r.beginTerm(ctx, epoch, account); err != nil {
 			return err
 		}
 	}
 	return r.commit(ctx, func() (Write, bool) { return r.propose(account) })
 }
 
-// Reallocate gives what is free to nodes that are short, between two steps. It is
-// called like Step, and its error means the same.
+// Reallocate grants free capacity to nodes short of it between two steps. It must be
+// called by the same goroutine as Step, and its error has the same meaning.
 func (r *Runner) Reallocate(ctx context.Context) error {
 	defer close(r.beginStep())
 	epoch, held := r.options.Lease.Held()
 	if !held || !r.deciding(epoch) {
 		return nil
 	}
-	return r.commit(ctx, r.relieve)
+	return r.commit(ctx, r.reallocate)
 }
 
-func (r *Runner) relieve() (Write, bool) {
+func (r *Runner) reallocate() (Write, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.core == nil {
@@ -112,12 +113,12 @@
 	return r.core.Reallocate(r.options.Clock())
 }
 
-// beginStep returns what is to be closed when the step has ended.
+// beginStep returns the channel to close when the step has ended.
 func (r *Runner) beginStep() chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ended := r.next
-	r.next = make(chan struct{})
+	ended := r.nextStep
+	r.nextStep = make(chan struct{})
 	return ended
 }
 
@@ -127,7 +128,7 @@
 	return r.core != nil && r.core.Epoch() == epoch
 }
 
-func (r *Runner) end() {
+func (r *Runner) endTerm() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.core != nil {
@@ -137,12 +138,12 @@
 	r.published = nil
 }
 
-// begin reads the ledger and takes over.
-func (r *Runner) begin(ctx context.Context, epoch uint64, account *model.Account) error {
-	r.end()
-	entry, err := r.read(ctx)
+// beginTerm reads the ledger and starts a term.
+func (r *Runner) beginTerm(ctx context.Context, epoch uint64, account *model.Account) error {
+	r.endTerm()
+	entry, err := r.readLedger(ctx)
 	if err != nil {
-		// The store is out: the lease ends by itself unless it comes back.
+		// The store is unreachable: the lease expires unless the store recovers.
 		return nil
 	}
 	now := r.options.Clock()
@@ -157,7 +158,7 @@
 	return nil
 }
 
-func (r *Runner) read(ctx context.Context) (store.Entry, error) {
+func (r *Runner) readLedger(ctx context.Context) (store.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.CallTimeout)
 	defer cancel()
 	entry, err := r.options.KV.Get(ctx, LedgerKey(r.options.Account))
@@ -167,11 +168,11 @@
 	return entry, err
 }
 
-// commit makes the step's decisions, the write they need, and gives out a plan
-// that is written.
+// commit writes the ledger if necessary, publishes a committed plan and asks nodes
+// to report.
 func (r *Runner) commit(ctx context.Context, propose func() (Write, bool)) error {
-	if err := r.write(ctx, propose); err != nil {
-		r.end()
+	if err := r.writeLedger(ctx, propose); err != nil {
+		r.endTerm()
 		return err
 	}
 	r.publish()
@@ -179,7 +180,8 @@
 	return nil
 }
 
-// hasten asks the nodes that report seldom and whose grants are to change.
+// hasten asks nodes to report whose grants are about to change and that will not
+// report soon.
 func (r *Runner) hasten() {
 	r.mu.Lock()
 	if r.core == nil {
@@ -194,7 +196,7 @@
 	}
 }
 
-func (r *Runner) write(ctx context.Context, propose func() (Write, bool)) error {
+func (r *Runner) writeLedger(ctx context.Context, propose func() (Write, bool)) error {
 	write, due := propose()
 	if !due {
 		return nil
@@ -227,7 +229,7 @@
 }
 
 func (r *Runner) resolve(ctx context.Context) error {
-	entry, err := r.read(ctx)
+	entry, err := r.readLedger(ctx)
 	if err != nil {
 		return nil
 	}
@@ -237,7 +239,7 @@
 }
 
 func (r *Runner) publish() {
-	p := r.fresh()
+	p := r.unpublishedPlan()
 	if p == nil {
 		return
 	}
@@ -249,8 +251,8 @@
 	}
 }
 
-// fresh returns a plan that has not been published yet, or nil.
-func (r *Runner) fresh() *plan.Plan {
+// unpublishedPlan returns a committed plan that has not been published yet, or nil.
+func (r *Runner) unpublishedPlan() *plan.Plan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.core == nil {
@@ -264,28 +266,27 @@
 	return p
 }
 
-// Renew answers a report. The lease is checked after the report was received,
-// so that nothing given in the answer can outlive the wait of the next
-// decider, however long the answer then takes. The answer to a node that is
-// short waits for the next step, which is asked for.
+// Renew answers a report. The lease is checked after the report was received, so
+// that no grant in the answer outlives the waiting time of the next decider. The
+// answer to a node short of capacity waits for the next step, which is requested.
 func (r *Runner) Renew(ctx context.Context, request *peerpb.RenewRequest) *peerpb.RenewResponse {
-	response, stepped := r.take(request)
+	response, stepped := r.recordReport(request)
 	if response != nil {
 		return response
 	}
 	r.options.RequestReallocation()
-	ctx, cancel := context.WithTimeout(ctx, holdTime)
+	ctx, cancel := context.WithTimeout(ctx, maxHoldTime)
 	defer cancel()
 	select {
 	case <-stepped:
 	case <-ctx.Done():
 	}
-	return r.answer(request)
+	return r.respond(request)
 }
 
-// take takes in a report and answers it. When the answer is to wait it returns
-// what is closed after the next step in place of it.
-func (r *Runner) take(request *peerpb.RenewRequest) (response *peerpb.RenewResponse, stepped <-chan struct{}) {
+// recordReport records a report and answers it. If the answer must wait for the next
+// step, it returns a channel that is closed after that step instead.
+func (r *Runner) recordReport(request *peerpb.RenewRequest) (response *peerpb.RenewResponse, stepped <-chan struct{}) {
 	epoch, held := r.options.Lease.Held()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -298,14 +299,14 @@
 	case response != nil:
 		return response, nil
 	case hold:
-		return nil, r.next
+		return nil, r.nextStep
 	default:
 		return r.core.Respond(request, now), nil
 	}
 }
 
-// answer answers a report that was held. The lease may have ended meanwhile.
-func (r *Runner) answer(request *peerpb.RenewRequest) *peerpb.RenewResponse {
+// respond answers a report that was held. The lease may have ended meanwhile.
+func (r *Runner) respond(request *peerpb.RenewRequest) *peerpb.RenewResponse {
 	epoch, held := r.options.Lease.Held()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -319,23 +320,23 @@
 	return &peerpb.RenewResponse{Code: uint32(result.NotLeader)}
 }
 
-// Status is what operators see of a decider.
+// Status is the state of a decider that is shown to operators.
 type Status struct {
 	Deciding bool
 	Epoch    uint64
 	Nodes    int
-	// Unlisted counts nodes that the VM list does not show at the address
-	// they report; they get no floor.
+	// Unlisted counts nodes that the VM list does not contain at the address they
+	// report; they get no floor.
 	Unlisted    int
 	LedgerBytes int
 	Writes      uint64
-	// Over names a limit that more is out than; empty when there is none.
+	// Over describes a limit that the grants exceed, empty for none.
 	Over string
 	// Explanation is that of the last plan.
 	Explanation any
 }
 
-// Status returns the present state.
+// Status returns the current state.
 func (r *Runner) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
