--- a/control/relay/batch.go
+++ b/control/relay/batch.go
@@ -11,23 +11,23 @@
 // RenewFunc answers one report as the decider of its account.
 type RenewFunc func(ctx context.Context, report *peerpb.RenewRequest) *peerpb.RenewResponse
 
-// AnswerBatch answers a batch at the decider: each report by itself, in the order of
-// the batch, as if its node had sent it. The answers to nodes that are short are
-// held by renew, so these are asked for beside the others.
+// AnswerBatch answers a batch at the decider, processing its reports in order as if
+// each node had sent its own. Reports of nodes short of capacity run concurrently,
+// because renew holds their answers.
 func AnswerBatch(ctx context.Context, batch *peerpb.BatchRequest, renew RenewFunc) *peerpb.BatchResponse {
-	if len(batch.Reports) == 0 || len(batch.Reports) > maxHeld {
+	if len(batch.Reports) == 0 || len(batch.Reports) > maxPending {
 		return &peerpb.BatchResponse{Code: uint32(result.BadRequest)}
 	}
-	reports := unfold(batch)
+	reports := decodeBatch(batch)
 	answers := make([]*peerpb.RenewResponse, len(reports))
-	var held sync.WaitGroup
+	var pending sync.WaitGroup
 	for i, report := range reports {
 		if report.Short {
-			held.Go(func() { answers[i] = renew(ctx, report) })
+			pending.Go(func() { answers[i] = renew(ctx, report) })
 			continue
 		}
 		answers[i] = renew(ctx, report)
 	}
-	held.Wait()
-	return foldAnswers(answers)
+	pending.Wait()
+	return encodeAnswers(answers)
 }
--- a/control/relay/bench_test.go
+++ b/control/relay/bench_test.go
@@ -15,7 +15,8 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// benchDecider answers every report with so many grants, unchanged with none.
+// benchDecider answers every report with the given number of grants, or as unchanged
+// if it is 0.
 type benchDecider struct {
 	peerpb.UnimplementedControlServer
 	peerpb.UnimplementedRelayServer
@@ -39,7 +40,7 @@
 	return answer
 }
 
-// countingConn counts what goes over a connection, both ways.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -63,8 +64,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkReports takes reports to a decider over TCP, by calls of one report and
-// by batches: processor time of both ends and bytes on the wire for each report.
+// BenchmarkReports sends reports to a decider over TCP, singly and in batches. It
+// measures the CPU time of both ends and the bytes on the wire per report.
 func BenchmarkReports(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/control/relay/relay.go
+++ b/control/relay/relay.go
@@ -1,11 +1,12 @@
-// Package relay carries the reports of a failure domain's nodes to the decider of
-// an account in few calls. A relay is a node that gathers reports for a short time,
-// sends them on in one batch and hands each answer to its node. It keeps nothing
-// beyond that and decides nothing: to the protocol of grants it is a part of the
-// network that delays messages and may lose them.
+// Package relay forwards the reports of a failure domain's nodes to the decider of
+// an account in batches. A relay is a node that collects reports for a short time,
+// sends them in one call and returns each answer to its node. It stores and decides
+// nothing else: to the grant protocol it is a network hop that may delay or lose
+// messages.
 //
 // Relay is the relay side, Selector the choice of a relay on the reporting node, and
-// AnswerBatch the decider side. EncodeBatch and DecodeAnswers convert the batch format.
+// AnswerBatch the decider side. EncodeBatch and DecodeAnswers convert the batch
+// format.
 package relay
 
 import (
@@ -25,44 +26,43 @@
 
 // Options configures a Relay.
 type Options struct {
-	// Decider returns the decider of an account that this node knows, and its
-	// epoch.
+	// Decider returns the last known decider of an account and its epoch.
 	Decider func(model.AccountName) (ref *peerpb.NodeRef, epoch uint64, ok bool)
-	// Dial returns a connection to another node; it keeps it for later calls.
+	// Dial returns a connection to another node, which is reused across calls.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// FleetSize counts the live entry VMs.
+	// FleetSize returns the number of live entry VMs.
 	FleetSize func() int
 	// Stopping reports whether this node is in a planned stop.
 	Stopping func() bool
-	// Clock is a monotonic clock that goes on while the VM is suspended.
+	// Clock is a monotonic clock that keeps running while the VM is suspended.
 	Clock func() time.Time
 }
 
-// Relay gathers reports. It is safe for use by several goroutines.
+// Relay batches reports. It is safe for concurrent use.
 type Relay struct {
 	options Options
 	counts  counts
 
-	mu         sync.Mutex
-	gatherings map[model.AccountName]*gathering
+	mu       sync.Mutex
+	batchers map[model.AccountName]*batcher
 }
 
-// counts is what a relay has done.
+// counts holds the counters of a relay.
 type counts struct{ passed, batches, failed atomic.Uint64 }
 
-// Status is what operators see of a relay.
+// Status is the state of a relay that is shown to operators.
 type Status struct {
-	// Passed counts reports that went on to a decider, Batches the calls in which
-	// they did, Failed the reports that could not be answered.
+	// Passed counts reports forwarded to a decider, Batches the calls used for them,
+	// Failed the reports without an answer.
 	Passed, Batches, Failed uint64
 }
 
-// New returns a relay that holds nothing.
+// New returns a relay without pending reports.
 func New(options Options) *Relay {
-	return &Relay{options: options, gatherings: make(map[model.AccountName]*gathering)}
+	return &Relay{options: options, batchers: make(map[model.AccountName]*batcher)}
 }
 
-// Status returns what the relay has done since the process began.
+// Status returns the counters since the process started.
 func (r *Relay) Status() Status {
 	return Status{
 		Passed:  r.counts.passed.Load(),
@@ -71,17 +71,14 @@
 	}
 }
 
-// errFailed tells a node to report by another way.
-var errFailed = status.Error(codes.Unavailable, "relay: the report was not answered")
+// errNoAnswer tells a node to send its report another way.
+var errNoAnswer = status.Error(codes.Unavailable, "relay: the report was not answered")
 
-// Pass sends a report on and returns the decider's answer, or errFailed.
-//
-// Guard against a relay that has not heard of a new decider, because the items of
-// its domain lag: its nodes would ask the old one until their surplus ends. It
-// shows as not-leader answers for one domain only. The guard holds because a node
-// that knows a newer decider is told at once and reports directly.
+// Pass forwards a report and returns the decider's answer, or errNoAnswer. A relay
+// that knows an older decider than the reporting node refuses the report, so that
+// the node sends it directly.
 func (r *Relay) Pass(ctx context.Context, request *peerpb.PassRequest) (*peerpb.RenewResponse, error) {
-	if unnamed := request.Report.GetNode() == nil && request.Report.GetNodeKey() == 0; unnamed || request.Report.Stopped {
+	if unidentified := request.Report.GetNode() == nil && request.Report.GetNodeKey() == 0; unidentified || request.Report.Stopped {
 		return &peerpb.RenewResponse{Code: uint32(result.BadRequest)}, nil
 	}
 	account := model.AccountName(request.Report.Account)
@@ -89,28 +86,28 @@
 	if !ok || epoch < request.DeciderEpoch || r.options.Stopping() {
 		return &peerpb.RenewResponse{Code: uint32(result.NotLeader)}, nil
 	}
-	h := &held{ctx: ctx, report: request.Report, at: r.options.Clock(), answer: make(chan *peerpb.RenewResponse, 1)}
-	if !r.gathering(account).add(h, request.Urgent) {
-		return nil, errFailed
+	p := &pendingReport{ctx: ctx, report: request.Report, receivedAt: r.options.Clock(), answer: make(chan *peerpb.RenewResponse, 1)}
+	if !r.batcherFor(account).add(p, request.Urgent) {
+		return nil, errNoAnswer
 	}
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case answer := <-h.answer:
+	case answer := <-p.answer:
 		if answer == nil {
-			return nil, errFailed
+			return nil, errNoAnswer
 		}
 		return answer, nil
 	}
 }
 
-func (r *Relay) gathering(account model.AccountName) *gathering {
+func (r *Relay) batcherFor(account model.AccountName) *batcher {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	g := r.gatherings[account]
-	if g == nil {
-		g = &gathering{relay: r, account: account}
-		r.gatherings[account] = g
+	b := r.batchers[account]
+	if b == nil {
+		b = &batcher{relay: r, account: account}
+		r.batchers[account] = b
 	}
-	return g
+	return b
 }
--- a/control/relay/relay_test.go
+++ b/control/relay/relay_test.go
@@ -20,12 +20,12 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// world is one relay and the decider it sends to.
-type world struct {
+// testRelay is a relay with a fake decider.
+type testRelay struct {
 	grpc.ClientConnInterface
 	relay *Relay
-	// skipped is how much the relay's clock is ahead, lose how many answers are
-	// lost, hold how long the decider holds those to nodes that are short.
+	// skipped is how far the relay's clock is ahead, lose how many answers are lost,
+	// hold how long the decider holds answers to nodes short of capacity.
 	skipped, lose atomic.Int64
 	hold          time.Duration
 
@@ -33,41 +33,42 @@
 	batches []*peerpb.BatchRequest
 }
 
-func newWorld() *world {
-	w := &world{}
-	w.relay = New(Options{
+func newTestRelay() *testRelay {
+	tr := &testRelay{}
+	tr.relay = New(Options{
 		Decider: func(model.AccountName) (*peerpb.NodeRef, uint64, bool) {
 			return &peerpb.NodeRef{Vm: "decider"}, 5, true
 		},
-		Dial:      func(string) (grpc.ClientConnInterface, error) { return w, nil },
+		Dial:      func(string) (grpc.ClientConnInterface, error) { return tr, nil },
 		FleetSize: func() int { return 100 },
 		Stopping:  func() bool { return false },
-		Clock:     func() time.Time { return time.Now().Add(time.Duration(w.skipped.Load())) },
+		Clock:     func() time.Time { return time.Now().Add(time.Duration(tr.skipped.Load())) },
 	})
-	return w
+	return tr
 }
 
-// Invoke is the decider: the sequence of an answer is the interval of its report.
-func (w *world) Invoke(ctx context.Context, _ string, args, reply any, _ ...grpc.CallOption) error {
+// Invoke is the fake decider: the sequence of an answer is the interval of its
+// report.
+func (tr *testRelay) Invoke(ctx context.Context, _ string, args, reply any, _ ...grpc.CallOption) error {
 	batch := args.(*peerpb.BatchRequest)
-	w.mu.Lock()
-	w.batches = append(w.batches, proto.CloneOf(batch))
-	w.mu.Unlock()
+	tr.mu.Lock()
+	tr.batches = append(tr.batches, proto.CloneOf(batch))
+	tr.mu.Unlock()
 	response := AnswerBatch(ctx, batch, func(_ context.Context, report *peerpb.RenewRequest) *peerpb.RenewResponse {
 		if report.Short {
-			time.Sleep(w.hold)
+			time.Sleep(tr.hold)
 		}
 		return &peerpb.RenewResponse{Epoch: 5, Sequence: uint64(report.IntervalMs), Unchanged: true}
 	})
-	response.Answers = response.Answers[w.lose.Load():]
+	response.Answers = response.Answers[tr.lose.Load():]
 	proto.Merge(reply.(proto.Message), response)
 	return nil
 }
 
-func (w *world) sent() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.batches)
+func (tr *testRelay) batchCount() int {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return len(tr.batches)
 }
 
 func report(i int) *peerpb.RenewRequest {
@@ -77,53 +78,52 @@
 	}
 }
 
-// pass sends a report and returns whether it got its own answer, and after what time.
-func (w *world) pass(ctx context.Context, request *peerpb.PassRequest) (answered bool, took time.Duration) {
+// pass sends a report and returns whether it got its own answer, and how long that
+// took.
+func (tr *testRelay) pass(ctx context.Context, request *peerpb.PassRequest) (answered bool, took time.Duration) {
 	began := time.Now()
-	answer, err := w.relay.Pass(ctx, request)
+	answer, err := tr.relay.Pass(ctx, request)
 	return err == nil && answer.Code == 0 && answer.Sequence == uint64(request.Report.IntervalMs), time.Since(began)
 }
 
-// Every node of a domain reports in the same second. The decider would take a call
-// from each; it takes one, and each node gets the answer to its own report.
-func TestReportsTravelTogether(t *testing.T) {
+// Reports of a domain must reach the decider in one call, and each node must get the
+// answer to its own report.
+func TestReportsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
+		tr := newTestRelay()
 		var nodes sync.WaitGroup
 		for i := range 30 {
 			nodes.Go(func() {
 				time.Sleep(time.Duration(i) * 30 * time.Millisecond)
-				if ok, took := w.pass(t.Context(), &peerpb.PassRequest{Report: report(i + 1)}); !ok || took > shortHold {
+				if ok, took := tr.pass(t.Context(), &peerpb.PassRequest{Report: report(i + 1)}); !ok || took > smallFleetHold {
 					t.Errorf("node %d: answered %v after %v", i, ok, took)
 				}
 			})
 		}
 		nodes.Wait()
-		if w.sent() != 1 {
-			t.Errorf("%d batches", w.sent())
+		if tr.batchCount() != 1 {
+			t.Errorf("%d batches", tr.batchCount())
 		}
 	})
 }
 
-// All nodes of a domain are short at every moment, for a minute. Each asks for an
-// answer at once, but the decider must not take a call for each. Reports of nodes
-// that are not short come at the same time; they must not wait for the answers that
-// the decider holds.
+// Urgent reports must be rate limited when many nodes are short of capacity, and
+// regular reports must not wait for the answers that the decider holds.
 func TestUrgentReportsAreBounded(t *testing.T) {
 	const seconds = 60
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.hold = 1500 * time.Millisecond
+		tr := newTestRelay()
+		tr.hold = 1500 * time.Millisecond
 		var nodes sync.WaitGroup
 		for i := range 30 {
 			nodes.Go(func() {
 				for began := time.Now(); time.Since(began) < seconds*time.Second; time.Sleep(100 * time.Millisecond) {
 					r := report(i + 1)
 					r.Short = i%3 > 0
-					ok, took := w.pass(t.Context(), &peerpb.PassRequest{Report: r, Urgent: i%3 < 2})
-					most := shortHold
+					ok, took := tr.pass(t.Context(), &peerpb.PassRequest{Report: r, Urgent: i%3 < 2})
+					most := smallFleetHold
 					if r.Short {
-						most = urgentEvery + w.hold
+						most = urgentInterval + tr.hold
 					}
 					if !ok || took > most {
 						t.Errorf("node %d: answered %v after %v", i, ok, took)
@@ -132,65 +132,60 @@
 			})
 		}
 		nodes.Wait()
-		if w.sent() > 3*seconds+urgentBurst {
-			t.Errorf("%d batches in %d s", w.sent(), seconds)
+		if tr.batchCount() > 3*seconds+urgentBurst {
+			t.Errorf("%d batches in %d s", tr.batchCount(), seconds)
 		}
 	})
 }
 
-// What a relay must not send on, and what it must not hand back. Each of these would
-// tell the decider of a node that may not run, or a node of grants that are not its
-// own.
+// A relay must not forward outdated reports or return the answers of other nodes.
 func TestRelayFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// story is what goes wrong while the report is held.
-		story func(w *world, nodeEnds func())
+		// fault is injected while the report is held.
+		fault func(tr *testRelay, nodeEnds func())
 		epoch uint64
-		// batches is how many the decider takes, within bounds the time until the
-		// node knows.
+		// batches is how many batches the decider must receive, within the time
+		// limit for the node's answer.
 		batches int
 		within  time.Duration
 	}{
 		{
-			// The relay's VM is suspended for a minute with a report in memory. The
-			// node ends meanwhile, and its connection breaks without a word.
+			// The relay's VM is suspended for a minute with a report in memory.
 			name:   "paused",
-			story:  func(w *world, _ func()) { w.skipped.Store(int64(time.Minute)) },
-			within: shortHold,
+			fault:  func(tr *testRelay, _ func()) { tr.skipped.Store(int64(time.Minute)) },
+			within: smallFleetHold,
 		},
 		{
-			// A node is stopped while the relay holds its report. The decider would
-			// hear that it has stopped, and then that it runs.
+			// A node stops while the relay holds its report.
 			name:   "node gone",
-			story:  func(_ *world, nodeEnds func()) { nodeEnds() },
-			within: shortHold,
+			fault:  func(_ *testRelay, nodeEnds func()) { nodeEnds() },
+			within: smallFleetHold,
 		},
 		{
-			// The relay has not heard of the new decider, its node has.
+			// The node knows a newer decider than the relay.
 			name:  "behind",
 			epoch: 6,
 		},
 		{
-			// The decider's answer lacks one of the answers, so that each of the
-			// others would go to the wrong node.
+			// One answer is missing, so that the others would go to the wrong nodes.
 			name:    "answer lost",
-			story:   func(w *world, _ func()) { w.lose.Store(1) },
-			within:  shortHold,
+			fault:   func(tr *testRelay, _ func()) { tr.lose.Store(1) },
+			within:  smallFleetHold,
 			batches: 1,
 		},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld()
+			tr := newTestRelay()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if c.story != nil {
-				time.AfterFunc(shortHold/2, func() { c.story(w, cancel) })
+			if c.fault != nil {
+				time.AfterFunc(smallFleetHold/2, func() { c.fault(tr, cancel) })
 			}
-			ok, took := w.pass(ctx, &peerpb.PassRequest{Report: report(1), DeciderEpoch: c.epoch})
-			time.Sleep(shortHold)
-			if ok || took > c.within || w.sent() != c.batches {
-				t.Errorf("%s: answered %v after %v, %d batches", c.name, ok, took, w.sent())
+			ok, took := tr.pass(ctx, &peerpb.PassRequest{Report: report(1), DeciderEpoch: c.epoch})
+			time.Sleep(smallFleetHold)
+			if ok || took > c.within || tr.batchCount() != c.batches {
+				t.Errorf("%s: answered %v after %v, %d batches", c.name, ok, took, tr.batchCount())
 			}
 		})
 	}
@@ -199,9 +194,9 @@
 	}
 }
 
-// A batch leaves out what its messages have in common. A message that differs, or
-// that has nothing where the others have something, must come out as it went in.
-func TestFold(t *testing.T) {
+// Decoding a batch must restore messages that differ from the common values or leave
+// them empty.
+func TestBatchEncoding(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	names := []string{"", "seoul-a", "busan-b"}
 	for range 500 {
@@ -217,18 +212,18 @@
 			})
 		}
 		batch := EncodeBatch("daehan", reports)
-		folded := proto.Size(batch)
-		if diff := cmp.Diff(reports, unfold(batch), protocmp.Transform()); diff != "" {
+		encoded := proto.Size(batch)
+		if diff := cmp.Diff(reports, decodeBatch(batch), protocmp.Transform()); diff != "" {
 			t.Fatal(diff)
 		}
-		if whole := proto.Size(&peerpb.BatchRequest{Reports: reports}); len(reports) > 2 && folded >= whole {
-			t.Fatalf("%d bytes of %d", folded, whole)
+		if plain := proto.Size(&peerpb.BatchRequest{Reports: reports}); len(reports) > 2 && encoded >= plain {
+			t.Fatalf("%d bytes, %d unencoded", encoded, plain)
 		}
 		want := make([]*peerpb.RenewResponse, len(answers))
 		for i, a := range answers {
 			want[i] = proto.CloneOf(a)
 		}
-		if diff := cmp.Diff(want, DecodeAnswers(foldAnswers(answers)), protocmp.Transform()); diff != "" {
+		if diff := cmp.Diff(want, DecodeAnswers(encodeAnswers(answers)), protocmp.Transform()); diff != "" {
 			t.Fatal(diff)
 		}
 	}
--- a/control/relay/route_test.go
+++ b/control/relay/selector_test.go
@@ -9,8 +9,7 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// fromNodes is the setting of the tests.
-const fromNodes = 64
+const minFleet = 64
 
 func domain(n int) []*peerpb.NodeRef {
 	var refs []*peerpb.NodeRef
@@ -23,20 +22,19 @@
 func newRoute(fleet, inDomain int, seed uint64) *Selector {
 	members := Members{FleetSize: fleet, Domain: domain(inDomain)}
 	return NewSelector(SelectorOptions{
-		Account: "daehan", MinFleet: fromNodes, Random: rand.New(rand.NewPCG(seed, 0)),
+		Account: "daehan", MinFleet: minFleet, Random: rand.New(rand.NewPCG(seed, 0)),
 		Members: func() Members { return members },
 	})
 }
 
-// Fleets of today's size, and domains in which a relay saves nothing, must see no
-// difference.
+// Small fleets, and domains in which a relay saves no calls, must report directly.
 func TestSmallFleetsUseNoRelay(t *testing.T) {
 	for _, c := range []struct {
 		fleet, inDomain int
 		relay           bool
 	}{
-		{10, 5, false}, {fromNodes - 1, 8, false}, {550, MinDomainNodes - 1, false},
-		{fromNodes, MinDomainNodes, true}, {550, 32, true},
+		{10, 5, false}, {minFleet - 1, 8, false}, {550, MinDomainNodes - 1, false},
+		{minFleet, MinDomainNodes, true}, {550, 32, true},
 	} {
 		if via, _ := newRoute(c.fleet, c.inDomain, 1).Next(time.Now()); (via != nil) != c.relay {
 			t.Errorf("%+v: relay %v", c, via)
@@ -44,10 +42,8 @@
 	}
 }
 
-// Every relay of a fleet fails at the same moment, for example by a fault in the
-// relay itself, and goes on failing. All nodes turn to their deciders. A decider
-// takes 200 reports a second; more would make it fail too. No node may be without
-// an answer until its surplus ends, nor those that report every 10 s.
+// When all relays fail, direct reports must stay within the decider's report rate,
+// and every node must be answered before its surplus expires.
 func TestNoBurstWhenAllRelaysFail(t *testing.T) {
 	for _, interval := range []time.Duration{2750 * time.Millisecond, 10 * time.Second} {
 		testAllRelaysFail(t, interval)
@@ -56,8 +52,8 @@
 
 func testAllRelaysFail(t *testing.T, interval time.Duration) {
 	const nodes, seconds = 550, 60
-	// lasts is the time to live of a surplus less that of a round.
-	const lasts = 14 * time.Second
+	// maxWait is the surplus time to live minus the time of one report.
+	const maxWait = 14 * time.Second
 	began := time.Unix(1000, 0)
 	direct := make([]int, 2*seconds)
 	for n := range nodes {
@@ -73,7 +69,7 @@
 				now = now.Add(r.RecordFailure(via, answered, now))
 				via, timeout = r.Next(now)
 			}
-			if wait := now.Sub(answered); wait > lasts {
+			if wait := now.Sub(answered); wait > maxWait {
 				t.Fatalf("no answer for %v", wait)
 			}
 			answered = now
@@ -87,8 +83,8 @@
 	}
 }
 
-// One relay of a domain fails for good while the VM list still shows it. Its nodes
-// must agree on the next one, or each would send batches of its own.
+// When a relay fails for good, all nodes of its domain must agree on the next one,
+// or they would send separate batches.
 func TestNextRelayIsTheSameForAll(t *testing.T) {
 	now := time.Unix(1000, 0)
 	chosen := make(map[string]int)
