--- a/control/campaign/campaign.go
+++ b/control/campaign/campaign.go
@@ -10,14 +10,14 @@
 	"github.com/yuccaroute/yuccaroute/store/lease"
 )
 
-// Election is a campaign for one lease. It runs once.
+// Election is a campaign for one lease. It can be run once.
 type Election interface {
 	Held() (epoch uint64, ok bool)
 	Run(ctx context.Context) error
 	Resign(ctx context.Context) error
 }
 
-// NewElection makes the election of a key over the store.
+// NewElection returns a constructor of elections with the given options.
 func NewElection(options lease.Options) func() (Election, error) {
 	return func() (Election, error) {
 		e, err := lease.New(options)
@@ -29,21 +29,20 @@
 }
 
 const (
-	// firstRanks is how many of the first candidates campaign at all times:
-	// the first, and one that takes over without a delay when it ends.
-	firstRanks = 2
-	// rankDelay is how much longer each later candidate waits without a
-	// decider before it campaigns too. The list that ranks them lags, so the
-	// first ones may all have ended with their failure domain.
+	// immediateRanks is how many candidates campaign at all times: the first one,
+	// and a standby that takes over without delay.
+	immediateRanks = 2
+	// rankDelay is the additional time that each later candidate waits without a
+	// decider before it campaigns. The list of candidates may be outdated, and the
+	// first ones may all have failed with their failure domain.
 	rankDelay = 2 * time.Second
-	// mostRanks bounds the candidates of an account at all times. In an outage
-	// of the store no decider answers anybody; without a bound the whole fleet
-	// would campaign, and call the store at once when it is back.
-	mostRanks = 8
+	// maxRanks limits the candidates of an account, so that the whole fleet does not
+	// call the store at once when it recovers from an outage.
+	maxRanks = 8
 )
 
-// Campaign starts and ends the election of one account on one node. It is
-// itself a lease: Held is false while no election runs.
+// Campaign starts and ends the elections of one account on one node. Held returns
+// false while no election runs.
 type Campaign struct {
 	open func() (Election, error)
 
@@ -53,7 +52,7 @@
 	done     chan struct{}
 }
 
-// New returns a campaign that does not run.
+// New returns a campaign without a running election.
 func New(open func() (Election, error)) *Campaign {
 	return &Campaign{open: open}
 }
@@ -69,18 +68,18 @@
 	return e.Held()
 }
 
-// ShouldCampaign reports whether a node of this rank should campaign after being without
-// a decider for a time.
+// ShouldCampaign reports whether a node of this rank should campaign after the given
+// time without a decider.
 func ShouldCampaign(rank int, without time.Duration) bool {
-	if rank >= mostRanks {
+	if rank >= maxRanks {
 		return false
 	}
-	return rank < firstRanks || without >= time.Duration(rank)*rankDelay
+	return rank < immediateRanks || without >= time.Duration(rank)*rankDelay
 }
 
-// Step starts the election when it is due and ends one that is neither due nor
-// won. A decider in office keeps its lease when its rank falls: each change of
-// decider costs a wait.
+// Step starts an election if it is due, and ends one that is neither due nor won.
+// The holder of the lease keeps it when its rank falls, because each change of
+// decider causes a delay.
 func (c *Campaign) Step(ctx context.Context, due bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,14 +107,14 @@
 	c.done = done
 	go func() {
 		defer close(done)
-		// Run ends with its context; the lease then lapses or is given back.
+		// Run ends with its context; the lease then expires or is released.
 		_ = e.Run(ctx)
 	}()
 	return nil
 }
 
-// Resign gives the lease up and waits for it as long as ctx lasts. The next
-// Step starts a new election.
+// Resign releases the lease, waiting until ctx is done at the latest. A later Step
+// may start a new election.
 func (c *Campaign) Resign(ctx context.Context) error {
 	c.mu.Lock()
 	e, cancel := c.election, c.cancel
--- a/control/campaign/campaign_test.go
+++ b/control/campaign/campaign_test.go
@@ -8,8 +8,8 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// The store is out for an hour: every node is without a decider. When it is
-// back, only a few of the fleet may call it.
+// Only a few nodes may campaign for an account, even after a long outage of the
+// store.
 func TestOutageMakesFewCandidates(t *testing.T) {
 	var fleet []string
 	for i := range 550 {
@@ -22,14 +22,13 @@
 				due++
 			}
 		}
-		if due < firstRanks || due > mostRanks {
+		if due < immediateRanks || due > maxRanks {
 			t.Errorf("%d candidates after %s", due, without)
 		}
 	}
 }
 
-// Accounts must be spread over the nodes, and keep their order when a node
-// that is not among the first ends.
+// Accounts must be spread evenly over the nodes.
 func TestRanksSpreadAccounts(t *testing.T) {
 	fleet := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	firsts := make(map[string]int)
--- a/control/campaign/rank.go
+++ b/control/campaign/rank.go
@@ -1,7 +1,7 @@
-// Package campaign spreads the deciders of all client accounts over the nodes.
-// Each account ranks the live nodes by rendezvous hashing; the first few
-// campaign for its lease, so that the number of waiting calls at the store
-// does not grow with the fleet.
+// Package campaign distributes the deciders of all client accounts over the nodes.
+// Each account ranks the live nodes by rendezvous hashing, and the first few
+// campaign for its lease, so that the number of pending calls to the store does not
+// grow with the fleet.
 package campaign
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Rank returns the place of a VM in an account's order of candidates, 0 for
-// the first. A VM that is not among the candidates comes after all of them.
+// Rank returns the position of a VM in an account's order of candidates, 0 for the
+// first. A VM that is not among the candidates gets the position that it would have.
 func Rank(account model.AccountName, vm string, candidates []string) int {
 	own := score(account, vm)
 	rank := 0
@@ -29,7 +29,7 @@
 	return rank
 }
 
-// RankOrder returns the candidates sorted by their score for a name.
+// RankOrder returns the candidates in descending order of their score for a name.
 func RankOrder(name string, candidates []string) []string {
 	ordered := append([]string(nil), candidates...)
 	sort.Slice(ordered, func(i, j int) bool {
@@ -43,7 +43,7 @@
 	return ordered
 }
 
-// separator keeps the parts of a hashed name apart.
+// separator makes the hashed pair unambiguous.
 const separator = "\x00"
 
 func score(account model.AccountName, vm string) uint64 {
