--- a/edge/exchange/exchange_test.go
+++ b/edge/exchange/exchange_test.go
@@ -49,13 +49,13 @@
 		Digest: func(full bool) *Digest {
 			d := &Digest{InFlight: Counts{8: 2}}
 			if full {
-				d.Full = &Full{Seen: []Seen{{Name: "b", Age: time.Second}}}
+				d.Details = &DigestDetails{VMs: []VMStatus{{Name: "b", Age: time.Second}}}
 			}
 			return d
 		},
 		RelayTo: func() ([]Peer, Relay) { return *v.relayTo.Load(), Relay{Peer: name, Revision: 8} },
 		State: func(bool) State {
-			return State{VM: site.VM{Name: name, Incarnation: 3, Peer: "p"}, Serving: true, Revision: 9,
+			return State{VM: site.VM{Name: name, Incarnation: 3, PeerAddress: "p"}, Serving: true, Revision: 9,
 				InFlight: v.inFlight, Demand: map[string]float64{"s": 1.5}}
 		},
 		Received: func(s State) {
@@ -86,7 +86,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.received["a"]
-	if s.InFlight[7] != 1 || s.Demand["s"] != 1.5 || s.Revision != 9 || !s.Serving || s.VM.Peer != "p" {
+	if s.InFlight[7] != 1 || s.Demand["s"] != 1.5 || s.Revision != 9 || !s.Serving || s.VM.PeerAddress != "p" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -96,7 +96,7 @@
 func TestOlderDatagramsAreDropped(t *testing.T) {
 	o, now := make(order), time.Now()
 	state := func(incarnation, number uint64) State {
-		return State{VM: site.VM{Name: "a", Incarnation: incarnation}, Number: number}
+		return State{VM: site.VM{Name: "a", Incarnation: incarnation}, Sequence: number}
 	}
 	for i, c := range []struct {
 		s    State
@@ -136,7 +136,7 @@
 	<-b.news
 	began := time.Now()
 	for range 10000 {
-		a.Changed()
+		a.RequestReport()
 	}
 	a.Exchange.mu.Lock()
 	defer a.Exchange.mu.Unlock()
@@ -158,7 +158,7 @@
 		if d == nil || d.InFlight[8] != 2 {
 			t.Fatalf("%+v", b.received["a"])
 		}
-		seen = seen || d.Full != nil && len(d.Full.Seen) == 1 && d.Full.Seen[0].Name == "b"
+		seen = seen || d.Details != nil && len(d.Details.VMs) == 1 && d.Details.VMs[0].Name == "b"
 		b.mu.Unlock()
 	}
 	if !seen {
