--- a/control/decider/bench_test.go
+++ b/control/decider/bench_test.go
@@ -157,7 +157,7 @@
 			t.Errorf("%d nodes report %.0f times a second", nodes, perSecond)
 		}
 		if fleet.step() {
-			t.Errorf("%d nodes: a steady second wrote", nodes)
+			t.Errorf("%d nodes: a step without changes wrote the ledger", nodes)
 		}
 		full, answer := proto.Size(fleet.requests[0]), proto.Size(steady)
 		fleet.requests[0].Places = nil
--- a/control/decider/renew_test.go
+++ b/control/decider/renew_test.go
@@ -59,7 +59,7 @@
 	request := old.requests[0]
 	request.RestMs = 10_000
 	if !old.renew(request).Unchanged {
-		t.Fatal("the grants change all the time")
+		t.Fatal("the grants change in a steady fleet")
 	}
 	for _, c := range []struct{ after, want time.Duration }{
 		{500 * time.Millisecond, 500 * time.Millisecond},
@@ -74,7 +74,7 @@
 	request.RestMs = 0
 	old.renew(request)
 	if reports, _ := old.core.nodeReports(old.now.Add(8 * time.Second)); reports[0].Age != 8*time.Second {
-		t.Errorf("a node that promised nothing: age %v", reports[0].Age)
+		t.Errorf("a node at the regular interval: age %v", reports[0].Age)
 	}
 }
 
--- a/control/holder/report_tracker_test.go
+++ b/control/holder/report_tracker_test.go
@@ -41,7 +41,7 @@
 		want          bool
 	}{
 		{name: "the same", want: true},
-		{name: "noise", recent: func(r *observe.Report) { *r = reportOver(time.Second, 130) }, want: true},
+		{name: "chance", recent: func(r *observe.Report) { *r = reportOver(time.Second, 130) }, want: true},
 		{name: "latency noise", recent: func(r *observe.Report) { r.Places[0].P99 *= 2 }, want: true},
 		{name: "demand rises", recent: func(r *observe.Report) { *r = reportOver(time.Second, 160) }},
 		{name: "demand rises a little for long", whole: func(r *observe.Report) { *r = reportOver(9*time.Second, 125) }},
--- a/control/holder/request_compactor_test.go
+++ b/control/holder/request_compactor_test.go
@@ -33,7 +33,7 @@
 		after  time.Duration
 		want   bool
 	}{
-		"noise":       {report(110, 0), 1, time.Second, true},
+		"chance":      {report(110, 0), 1, time.Second, true},
 		"surge":       {report(200, 0), 1, time.Second, false},
 		"refusal":     {report(100, 1), 1, time.Second, false},
 		"new decider": {report(100, 0), 2, time.Second, false},
--- a/control/holder/runner.go
+++ b/control/holder/runner.go
@@ -133,7 +133,7 @@
 // it receives. recent is the measurement of the last round, whole the one since the
 // last report.
 func (r *Runner) Due(recent, whole observe.Report) bool {
-	_, decider, known := r.options.Decider()
+	_, deciderEpoch, known := r.options.Decider()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
@@ -141,8 +141,8 @@
 		return false
 	}
 	set := r.core.Set()
-	renewed := known && decider > set.Epoch
-	if !r.hastened && !renewed && now.Before(r.nextSteadyReport) && r.tracker.UpToDate(recent, whole, set) {
+	newDecider := known && deciderEpoch > set.Epoch
+	if !r.hastened && !newDecider && now.Before(r.nextSteadyReport) && r.tracker.UpToDate(recent, whole, set) {
 		return false
 	}
 	r.reportNumber++
@@ -289,7 +289,7 @@
 }
 
 func (r *Runner) newRequest(report observe.Report, leaving bool) (*peerpb.RenewRequest, SentRequest) {
-	_, decider, known := r.options.Decider()
+	_, deciderEpoch, known := r.options.Decider()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.options.Clock()
@@ -299,7 +299,7 @@
 	r.urgent = r.urgent || r.hastened || short || leaving || r.lastAnswerAt.IsZero()
 	r.hastened = false
 	sent := r.core.StartRequest(now)
-	if known && decider > sent.Epoch {
+	if known && deciderEpoch > sent.Epoch {
 		// A new decider has no state from earlier reports.
 		r.tracker.Reset()
 	}
--- a/control/relay/selector.go
+++ b/control/relay/selector.go
@@ -28,7 +28,7 @@
 	Domain    []*peerpb.NodeRef
 }
 
-// SelectorOptions configures a Route.
+// SelectorOptions configures a Selector.
 type SelectorOptions struct {
 	Account model.AccountName
 	// MinFleet is the smallest fleet that uses relays, 0 for never.
