--- a/node/kept.go
+++ b/node/kept.go
@@ -36,7 +36,7 @@
 	return encodeAnswer(answer), nil
 }
 
-// askKept implements proxy.Ask.
+// askKept implements proxy.FetchAnswerFunc.
 func (n *Node) askKept(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code) {
 	address, listed := n.peerOf(vm)
 	if !listed {
--- a/node/node.go
+++ b/node/node.go
@@ -168,7 +168,7 @@
 		Scope:            n.metrics.Scope,
 		CallerRegion:     n.lookup.CallerRegion,
 		Keys:             recorder,
-		Ask:              n.askKept,
+		FetchAnswer:      n.askKept,
 		KeptAnswerBytes:  s.Limits.KeptAnswerBytes,
 		MaxBufferedBytes: s.Limits.BufferedBytes,
 		StreamOverBytes:  s.Limits.StreamOverBytes,
@@ -176,7 +176,7 @@
 		MaxInFlight:      int64(s.Limits.QueuedRequests),
 		Nodes:            n.liveNodes,
 		Clock:            n.options.Clock,
-		Short:            func(account model.AccountName) { n.control.Short(account) },
+		OnGrantShortage:  func(account model.AccountName) { n.control.Short(account) },
 		Dial:             n.options.Dial,
 	})
 	if err != nil {
--- a/node/run.go
+++ b/node/run.go
@@ -88,7 +88,7 @@
 	n.lookup.SetLeaving(true)
 	n.log.Info("node: leaving")
 	n.pause(ctx, leaveNotice)
-	n.proxy.Part()
+	n.proxy.DisableKeepAlives()
 	n.pause(ctx, partTime)
 	n.refusing.Store(true)
 	err := n.proxy.Drain(ctx)
--- a/proxy/ask.go
+++ b/proxy/ask.go
@@ -39,7 +39,7 @@
 // Nodes never wait for each other in a circle: a request waits here only for the
 // one that recorded the key, and that one waits for nobody.
 func (p *Proxy) ask(ctx context.Context, q *request, print kept.Print, duplicate ending) ending {
-	if p.options.Ask == nil || p.options.Keys == nil {
+	if p.options.FetchAnswer == nil || p.options.Keys == nil {
 		return duplicate
 	}
 	ctx, cancel := context.WithTimeout(ctx, maxAsk)
@@ -49,7 +49,7 @@
 	if !known || holder == p.options.Node.VM {
 		return duplicate
 	}
-	answer, code := p.options.Ask(ctx, holder, key, print)
+	answer, code := p.options.FetchAnswer(ctx, holder, key, print)
 	if answer == nil {
 		return refused(refuse(code))
 	}
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -61,7 +61,7 @@
 	s := serveCallers(t, p)
 	served, servedAnswer := dialCaller(t, s)
 	refused, refusedAnswer := dialCaller(t, s)
-	p.Part()
+	p.DisableKeepAlives()
 	_, _ = io.WriteString(served, "POST /orders HTTP/1.1\r\n"+requestHead+"Content-Length: 1\r\n\r\nx")
 	wantLastAnswer(t, servedAnswer, "0")
 	_, _ = io.WriteString(refused, "POST /orders HTTP/1.1\r\nHost: entry\r\nContent-Length: 1\r\n\r\nx")
--- a/proxy/limits_test.go
+++ b/proxy/limits_test.go
@@ -208,7 +208,7 @@
 	var told atomic.Int32
 	p, _ := newServingProxy(t, func(o *Options, m *model.Account) {
 		m.Excess = model.ExcessWait
-		o.Short = func(model.AccountName) { told.Add(1) }
+		o.OnGrantShortage = func(model.AccountName) { told.Add(1) }
 	})
 	p.SetGrants(testGrants(2, 10*grant.PerRequest))
 	began := time.Now()
--- a/proxy/options.go
+++ b/proxy/options.go
@@ -45,9 +45,9 @@
 	Holder(ctx context.Context, key keys.Key) (vm string, known bool)
 }
 
-// Ask returns the answer that another node keeps for a request, as
-// Proxy.KeptAnswer of that node; a failure is result.DuplicateKey.
-type Ask func(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code)
+// FetchAnswerFunc calls Proxy.KeptAnswer on another node. It returns
+// result.DuplicateKey if the call fails.
+type FetchAnswerFunc func(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code)
 
 // Options configure a Proxy.
 type Options struct {
@@ -66,9 +66,9 @@
 	// KeptAnswerBytes bounds the answers to requests with an idempotency key that
 	// are kept for repeats through this node, in sum; 0 keeps none.
 	KeptAnswerBytes int64
-	// Ask may be nil; repeats through another node than the first then get no
-	// answer.
-	Ask Ask
+	// FetchAnswer may be nil; a repeat that arrives through another node than the
+	// original request is then refused as a duplicate.
+	FetchAnswer FetchAnswerFunc
 	// MaxBufferedBytes bounds the bodies held in memory in sum, 0 takes
 	// DefaultBufferedBytes.
 	MaxBufferedBytes int64
@@ -83,9 +83,10 @@
 	MaxInFlight int64
 	// ConnectTimeout bounds opening a connection to a target.
 	ConnectTimeout time.Duration
-	// Short is told that requests of an account wait for more than the node's
-	// grant, at most once each shortEvery. It must not block; nil is not told.
-	Short func(model.AccountName)
+	// OnGrantShortage is called when requests of an account queue because the
+	// node's grant is used up. Calls are rate limited per service and place. It
+	// must not block and may be nil.
+	OnGrantShortage func(model.AccountName)
 	// Nodes returns how many entry nodes are live; nil reads as one.
 	Nodes func() int
 	// Clock is what grants are compared with, and must be the clock that their
@@ -110,8 +111,8 @@
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
-	if o.Short == nil {
-		o.Short = func(model.AccountName) {}
+	if o.OnGrantShortage == nil {
+		o.OnGrantShortage = func(model.AccountName) {}
 	}
 	if o.Logger == nil {
 		o.Logger = logrus.New()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -131,10 +131,10 @@
 // InFlight returns the number of requests in hand.
 func (p *Proxy) InFlight() int { return p.gate.Open() }
 
-// Part ends each caller's connection with its next answer; requests are served
-// as before. Call it before Drain: a request that meets the end of its
-// connection, or of the node, would end as unknown.
-func (p *Proxy) Part() { p.parting.Store(true) }
+// DisableKeepAlives closes each caller connection after its next response;
+// requests are still served. Call it before Drain: a request sent on a connection
+// that the exiting node closes would end with an unknown outcome.
+func (p *Proxy) DisableKeepAlives() { p.parting.Store(true) }
 
 // Drain refuses new requests as not run and returns when those in hand have
 // ended, or with the context's error.
--- a/proxy/repeat_test.go
+++ b/proxy/repeat_test.go
@@ -60,7 +60,7 @@
 	}
 	another := func(o *Options, m *model.Account) {
 		o.Node.VM = "entry-2"
-		o.Ask = ask
+		o.FetchAnswer = ask
 		keptWith(kv)(o, m)
 	}
 	field := func(name, value string) func(*http.Request) {
--- a/proxy/shortage.go
+++ b/proxy/shortage.go
@@ -28,6 +28,6 @@
 		return
 	}
 	if s.shortTold.CompareAndSwap(last, now) {
-		s.proxy.options.Short(s.key.Account)
+		s.proxy.options.OnGrantShortage(s.key.Account)
 	}
 }
