--- a/proxy/account_state.go
+++ b/proxy/account_state.go
@@ -190,11 +190,11 @@
 
 func (s *accountState) flowView(flow *plan.Flow, state *serviceState) *flowView {
 	key := flowKey{flow.Service, flow.Caller}
-	s.pickers[key] = pick.NewAfter(s.pickers[key], flow)
+	s.pickers[key] = pick.New(s.pickers[key], flow)
 	if s.repeats[key] == nil {
 		s.repeats[key] = newElsewhere()
 	}
-	s.repeats[key].setLeft(s.stepper.Left(flow.Service, flow.Caller))
+	s.repeats[key].setLeft(s.stepper.RemainingBudget(flow.Service, flow.Caller))
 	return &flowView{
 		chooser:   s.pickers[key],
 		shares:    flow.Shares,
@@ -206,7 +206,7 @@
 // refreshLeft tells each flow what its moves have left of the cap.
 func (s *accountState) refreshLeft() {
 	for key, e := range s.repeats {
-		e.setLeft(s.stepper.Left(key.service, key.caller))
+		e.setLeft(s.stepper.RemainingBudget(key.service, key.caller))
 	}
 }
 
--- a/proxy/reports.go
+++ b/proxy/reports.go
@@ -34,7 +34,7 @@
 		Interval: interval,
 	}
 	if s.stepper != nil {
-		r.PlanEpoch, r.PlanSequence = s.stepper.Reached()
+		r.PlanEpoch, r.PlanSequence = s.stepper.AppliedVersion()
 	}
 	for i := range s.account.Services {
 		name := s.account.Services[i].Name
--- a/steering/aggregate/aggregator_test.go
+++ b/steering/aggregate/aggregator_test.go
@@ -61,11 +61,11 @@
 	lost := reportOf(10*time.Second, 1, observe.PlaceLoad{SentRPS: 90, Targets: 4, Known: 4})
 	other := reportOf(0, 1, observe.PlaceLoad{})
 	_, places := New().Read(account, []Report{lost, other, other, other}, nil, start)
-	if p := places[0]; p.Usable != 4 || p.Known != 16 || p.Empty {
+	if p := places[0]; p.Usable != 4 || p.Known != 16 || p.NoTargets {
 		t.Fatalf("place %+v", p)
 	}
 	_, places = New().Read(account, []Report{other, other, other}, nil, start)
-	if p := places[0]; !p.Empty {
+	if p := places[0]; !p.NoTargets {
 		t.Fatalf("place %+v, want it empty", p)
 	}
 }
@@ -107,7 +107,7 @@
 	usable := func(second, targets int) int {
 		load := observe.PlaceLoad{SentRPS: 100, Targets: targets, Known: 4}
 		_, places := b.Read(account, []Report{reportOf(0, 100, load)}, nil, start.Add(time.Duration(second)*time.Second))
-		return places[0].Usable - places[0].Unsteady
+		return places[0].Usable - places[0].Unstable
 	}
 	if usable(0, 4) != 4 {
 		t.Fatal("the first reading does not count")
--- a/steering/aggregate/places.go
+++ b/steering/aggregate/places.go
@@ -35,7 +35,7 @@
 	for key, c := range cells {
 		state := c.state(key)
 		a.cellOf(key).smooth(&state, since)
-		state.Unsteady = state.Usable - a.steadyTargets(key, &state)
+		state.Unstable = state.Usable - a.steadyTargets(key, &state)
 		state.WarmP99 = a.warmOf(key, &state, risen, since)
 		states = append(states, state)
 	}
@@ -129,7 +129,7 @@
 		SentRPS:      c.sent,
 		Usable:       c.usable,
 		Known:        c.known + c.without*c.most,
-		Empty:        c.known == 0,
+		NoTargets:    c.known == 0,
 		Age:          time.Duration(c.age.value()),
 	}
 }
--- a/steering/cell.go
+++ b/steering/cell.go
@@ -78,13 +78,13 @@
 	c.permitted = c.configured * c.partOf(0)
 	c.usable = c.permitted
 	if c.state != nil {
-		c.usable = c.configured * c.partOf(c.state.Unsteady)
+		c.usable = c.configured * c.partOf(c.state.Unstable)
 	}
 }
 
 // partOf returns the part of the targets that take work, without some.
 func (c *cell) partOf(without int) float64 {
-	if c.state != nil && c.state.Empty {
+	if c.state != nil && c.state.NoTargets {
 		return 0
 	}
 	if c.state == nil || c.state.Known <= 0 {
@@ -96,7 +96,7 @@
 // failed reports a cell that all work must leave. An old state counts as well:
 // a place last seen failing is not taken for healthy because reports stopped.
 func (c *cell) failed() bool {
-	return c.broken() || c.state != nil && c.partOf(c.state.Unsteady) == 0
+	return c.broken() || c.state != nil && c.partOf(c.state.Unstable) == 0
 }
 
 // broken reports a cell most of whose requests fail, whatever its targets say.
@@ -120,7 +120,7 @@
 	if c.state == nil {
 		return 0
 	}
-	return max(1-c.partOf(c.state.Unsteady), c.state.FailureShare)
+	return max(1-c.partOf(c.state.Unstable), c.state.FailureShare)
 }
 
 func (c *cell) measured() bool {
--- a/steering/compare.go
+++ b/steering/compare.go
@@ -22,7 +22,7 @@
 	first, second = -1, -1
 	for i := range row {
 		c := &row[i]
-		if c.configured <= 0 || c.state == nil || c.partOf(c.state.Unsteady) == 0 {
+		if c.configured <= 0 || c.state == nil || c.partOf(c.state.Unstable) == 0 {
 			continue
 		}
 		switch {
--- a/steering/decide_bench_test.go
+++ b/steering/decide_bench_test.go
@@ -45,7 +45,7 @@
 	in := inputOf(a, 0.5)
 	in.Previous = Decide(in).Plan
 	for i := range 64 {
-		in.Moved = append(in.Moved, Move{
+		in.RecentMoves = append(in.RecentMoves, Move{
 			Service: a.Services[i%services].Name,
 			Caller:  a.Regions[i%benchRegions].Name,
 			Place:   a.Places[i%places].Name,
--- a/steering/decide_test.go
+++ b/steering/decide_test.go
@@ -89,7 +89,7 @@
 		t.Fatalf("moved %d ppm for gain, want half of the cap", moved)
 	}
 	stateOf(&in, a.Places[0].Name).Usable = 0
-	in.Moved = d.Moves
+	in.RecentMoves = d.Moves
 	in.Previous = d.Plan
 	d = Decide(in)
 	if left := shareAt(d.Plan, 0, a.Places[0].Name); left != 900_000 {
--- a/steering/empty_test.go
+++ b/steering/empty_test.go
@@ -16,7 +16,7 @@
 	decisions := follow(in, 600, func(in *Input, _ int) {
 		state := stateOf(in, lost)
 		state.SentRPS, state.Usable, state.Known = 0, 0, 0
-		state.Empty = true
+		state.NoTargets = true
 	})
 	after := shareAt(decisions[len(decisions)-1].Plan, 0, lost)
 	if before == 0 || after != 0 {
--- a/steering/failure_test.go
+++ b/steering/failure_test.go
@@ -42,7 +42,7 @@
 	in := inputOf(accountOf(2, 2, 1), 0.3)
 	in.Previous = Decide(in).Plan
 	s := stateOf(&in, in.Account.Places[0].Name)
-	s.Unsteady = s.Usable
+	s.Unstable = s.Usable
 	d := Decide(in)
 	if d.MovedPPM == 0 || d.Limits[0].UsableRPS != 1000 || d.Limits[0].DesiredRPS < 200 {
 		t.Fatalf("moved %d ppm, limit %+v", d.MovedPPM, d.Limits[0])
--- a/steering/fixture_test.go
+++ b/steering/fixture_test.go
@@ -91,10 +91,10 @@
 	var moved []Move
 	for second := range seconds {
 		in.Now = testNow.Add(time.Duration(second) * time.Second)
-		in.Moved = nil
+		in.RecentMoves = nil
 		for i, m := range moved {
 			m.Age = in.Now.Sub(made[i])
-			in.Moved = append(in.Moved, m)
+			in.RecentMoves = append(in.RecentMoves, m)
 		}
 		if change != nil {
 			change(&in, second)
--- a/steering/forecast/runner.go
+++ b/steering/forecast/runner.go
@@ -30,9 +30,9 @@
 // freshen lets the measurements count as new and nodes as in step, and gives
 // places the account adds a state, as they would have one soon after the change.
 func (r *runner) freshen() {
-	r.in.Behind = nil
+	r.in.Lagging = nil
 	r.before = r.in.Previous
-	for _, m := range r.in.Moved {
+	for _, m := range r.in.RecentMoves {
 		r.made = append(r.made, madeMove{move: m, at: -m.Age})
 	}
 	r.in.Demand = append([]steering.Demand(nil), r.in.Demand...)
@@ -68,12 +68,12 @@
 }
 
 func (r *runner) step() {
-	memory := steering.MoveMemory * r.in.Account.Moves.Window
-	r.in.Moved = r.in.Moved[:0:0]
+	memory := steering.MoveHistoryWindows * r.in.Account.Moves.Window
+	r.in.RecentMoves = r.in.RecentMoves[:0:0]
 	for _, m := range r.made {
 		m.move.Age = r.now() - m.at
 		if m.move.Age <= memory {
-			r.in.Moved = append(r.in.Moved, m.move)
+			r.in.RecentMoves = append(r.in.RecentMoves, m.move)
 		}
 	}
 	r.decision = steering.Decide(r.in)
--- a/steering/input.go
+++ b/steering/input.go
@@ -14,12 +14,13 @@
 	// Previous is the last plan of the account, also one of an earlier
 	// decider. It is nil only when the account never had one.
 	Previous *plan.Plan
-	// Moved holds the moves of the last MoveMemory windows, whoever decided
-	// them. What it leaves out may be moved again.
-	Moved []Move
-	// Behind is what callers would move besides if they went from nodes that
-	// lag behind the plan to others. It is charged to the cap like a move.
-	Behind []Behind
+	// RecentMoves holds the moves of the last MoveHistoryWindows windows, including
+	// those of earlier deciders. A move that is missing here is not charged to
+	// the move cap.
+	RecentMoves []Move
+	// Lagging is the traffic that would also shift if callers switched from nodes
+	// that lag behind the plan to other nodes. It is charged to the move cap.
+	Lagging []LaggingShare
 	// Demand and Places hold what is known. A missing entry means unknown.
 	Demand []Demand
 	Places []PlaceState
@@ -54,12 +55,12 @@
 	SentRPS float64
 	// Usable of Known targets take work. Known is 0 when it is not known.
 	Usable, Known int
-	// Empty tells that every node that reported lists no target here: the place
-	// was lost or removed. It is a measurement, unlike a place nobody reported.
-	Empty bool
-	// Unsteady of the usable targets came back too lately to be relied on:
-	// they serve what is still sent to them, but draw no work and hold none.
-	Unsteady int
+	// NoTargets is set when every reporting node lists no target here, because
+	// the place was lost or removed. A place without reports does not set it.
+	NoTargets bool
+	// Unstable is the number of usable targets that recovered too recently to be
+	// relied on. They serve traffic still sent to them but attract none.
+	Unstable int
 	Age      time.Duration
 }
 
@@ -78,9 +79,9 @@
 	Age time.Duration
 }
 
-// Behind is the part of a flow whose callers nodes out of step serve, weighted
-// by how far the shares of those nodes are from the plan.
-type Behind struct {
+// LaggingShare is the part of a flow that is served by nodes lagging behind the
+// plan, weighted by how far their effective shares differ from it.
+type LaggingShare struct {
 	Service model.ServiceName
 	Caller  model.RegionName
 	// PPM is in parts per million of the flow.
--- a/steering/moved.go
+++ b/steering/moved.go
@@ -9,8 +9,8 @@
 // the steps of each cell and the hold-down after failures.
 func (s *solver) readMoves() {
 	episodes := make(map[cellKey]*episode)
-	for i := range s.in.Moved {
-		m := &s.in.Moved[i]
+	for i := range s.in.RecentMoves {
+		m := &s.in.RecentMoves[i]
 		s.chargeMove(m)
 		s.chargeCell(m, episodes)
 	}
@@ -22,8 +22,8 @@
 			c.holdDown, c.failures = e.holdDown()
 		}
 	}
-	for i := range s.in.Behind {
-		s.chargeBehind(&s.in.Behind[i])
+	for i := range s.in.Lagging {
+		s.chargeBehind(&s.in.Lagging[i])
 	}
 	for i := range s.flows {
 		s.setBudget(&s.flows[i])
@@ -40,7 +40,7 @@
 	s.charge(m.Service, m.Caller, int64(m.Delta))
 }
 
-func (s *solver) chargeBehind(b *Behind) {
+func (s *solver) chargeBehind(b *LaggingShare) {
 	s.charge(b.Service, b.Caller, int64(b.PPM))
 }
 
--- a/steering/pick/picker.go
+++ b/steering/pick/picker.go
@@ -28,12 +28,11 @@
 	count *atomic.Uint64
 }
 
-// NewAfter returns a picker for the flow that goes on where the previous one
-// of the same flow stands. Without that, a plan that changes after every few
-// requests would always use the first points of the sequence, and the places
-// they fall on would get more than their shares. A nil previous is allowed.
-// Places with no share are never chosen.
-func NewAfter(previous *Picker, flow *plan.Flow) *Picker {
+// New returns a picker for the flow that continues the sequence of previous, the
+// picker of the same flow under the last plan, or starts one when previous is
+// nil. Restarting the sequence with each plan would skew the shares when plans
+// change every few requests. Places with no share are never chosen.
+func New(previous *Picker, flow *plan.Flow) *Picker {
 	if previous != nil && previous.flow == flow {
 		return previous
 	}
--- a/steering/pick/picker_test.go
+++ b/steering/pick/picker_test.go
@@ -22,7 +22,7 @@
 // requests stays within a few of its share.
 func TestNextFollowsSharesInShortRuns(t *testing.T) {
 	f := flowOf(500_000, 300_000, 0, 199_000, 1_000)
-	p := NewAfter(nil, f)
+	p := New(nil, f)
 	const run, runs = 100, 1000
 	worst := 0.0
 	for range runs {
@@ -47,7 +47,7 @@
 	var p *Picker
 	const changes = 3000
 	for range changes {
-		p = NewAfter(p, flowOf(800_000, 200_000))
+		p = New(p, flowOf(800_000, 200_000))
 		for range 3 {
 			counts[p.Next()]++
 		}
@@ -59,13 +59,13 @@
 }
 
 func TestNextWithoutShares(t *testing.T) {
-	if got := NewAfter(nil, &plan.Flow{}).Next(); got != "" {
+	if got := New(nil, &plan.Flow{}).Next(); got != "" {
 		t.Fatalf("chose %q of no places", got)
 	}
 }
 
 func TestNextFromManyGoroutines(t *testing.T) {
-	p := NewAfter(nil, flowOf(250_000, 750_000))
+	p := New(nil, flowOf(250_000, 750_000))
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	total := 0
@@ -89,7 +89,7 @@
 }
 
 func TestNextDoesNotAllocate(t *testing.T) {
-	p := NewAfter(nil, flowOf(250_000, 750_000))
+	p := New(nil, flowOf(250_000, 750_000))
 	f := flowOf(250_000, 750_000)
 	if n := testing.AllocsPerRun(1000, func() { p.Next(); ForBlock(f, 7) }); n != 0 {
 		t.Fatalf("%v allocations for a choice", n)
@@ -139,7 +139,7 @@
 }
 
 func BenchmarkNext(b *testing.B) {
-	p := NewAfter(nil, flowOf(250_000, 250_000, 250_000, 125_000, 125_000))
+	p := New(nil, flowOf(250_000, 250_000, 250_000, 125_000, 125_000))
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Next()
--- a/steering/planner/fleet_cap_test.go
+++ b/steering/planner/fleet_cap_test.go
@@ -191,7 +191,7 @@
 func (f *fleet) moveToOneInStep(i int) {
 	for _, j := range f.random.Perm(len(f.nodes)) {
 		n := f.nodes[j]
-		if _, sequence := n.stepper.Reached(); j != i && !n.paused && !n.cut && sequence == f.given.Sequence && f.fits(i, j) {
+		if _, sequence := n.stepper.AppliedVersion(); j != i && !n.paused && !n.cut && sequence == f.given.Sequence && f.fits(i, j) {
 			f.moveCallers(i, j)
 			return
 		}
--- a/steering/planner/fleet_test.go
+++ b/steering/planner/fleet_test.go
@@ -232,7 +232,7 @@
 
 // forgetMoves keeps the moves of as many windows as the ledger does.
 func (f *fleet) forgetMoves() {
-	for f.now.Sub(f.moves[0].At) > steering.MoveMemory*fleetLimits.Window {
+	for f.now.Sub(f.moves[0].At) > steering.MoveHistoryWindows*fleetLimits.Window {
 		f.moves = f.moves[1:]
 	}
 }
@@ -271,7 +271,7 @@
 	n.report = observe.Report{
 		Flows: []observe.FlowDemand{{Service: "desk", Caller: "seoul", OfferedRPS: rps}},
 	}
-	n.report.PlanEpoch, n.report.PlanSequence = n.stepper.Reached()
+	n.report.PlanEpoch, n.report.PlanSequence = n.stepper.AppliedVersion()
 	n.reported = f.now
 	// A quarter is split evenly, the rest by demand.
 	n.granted = usable * f.capacity * (0.25/float64(len(f.nodes)) + 0.75*rps/fleetGroups)
--- a/steering/planner/planner.go
+++ b/steering/planner/planner.go
@@ -58,10 +58,10 @@
 
 func (p *Planner) input(s *decider.PlannerInput) steering.Input {
 	in := steering.Input{
-		Account:  s.Account,
-		Now:      s.Now,
-		Previous: s.Previous,
-		Moved:    steeringMoves(s.Moves, s.Now),
+		Account:     s.Account,
+		Now:         s.Now,
+		Previous:    s.Previous,
+		RecentMoves: steeringMoves(s.Moves, s.Now),
 	}
 	reports := make([]aggregate.Report, 0, len(s.Reports))
 	for _, r := range s.Reports {
@@ -70,8 +70,8 @@
 	a := p.account(s.Account.Name, s.Now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	in.Demand, in.Places = a.aggregator.Read(s.Account, reports, in.Moved, s.Now)
-	in.Behind = a.positions.read(s)
+	in.Demand, in.Places = a.aggregator.Read(s.Account, reports, in.RecentMoves, s.Now)
+	in.Lagging = a.positions.read(s)
 	if s.Now.Sub(s.TermStart) < settling {
 		// The first reports after a change of decider are a part of the
 		// demand only. Taken for all of it, they would make full places look
--- a/steering/planner/positions.go
+++ b/steering/planner/positions.go
@@ -86,7 +86,7 @@
 
 // read takes in the last plan and reports, and returns what is charged to each
 // flow for nodes out of step with the plan.
-func (p *positions) read(s *decider.PlannerInput) []steering.Behind {
+func (p *positions) read(s *decider.PlannerInput) []steering.LaggingShare {
 	window, now := s.Account.Moves.Window, s.Now
 	p.trail.add(s.Previous, s.Moves, positionMemory+window, now)
 	rates := sumRates(s.Reports)
@@ -227,7 +227,7 @@
 // window ago, weighted by the node's part of the flow. From that plan to the
 // newest one the distance is within what moved in the window, which is charged
 // anyway.
-func (p *positions) behind(window time.Duration, now time.Time) []steering.Behind {
+func (p *positions) behind(window time.Duration, now time.Time) []steering.LaggingShare {
 	if len(p.trail.plans) == 0 {
 		return nil
 	}
@@ -236,12 +236,12 @@
 	if len(lags) == 0 {
 		return nil
 	}
-	var result []steering.Behind
+	var result []steering.LaggingShare
 	for i := range p.trail.plans[ref].flows {
 		f := &p.trail.plans[ref].flows[i]
 		key := flowKey{f.Service, f.Caller}
 		if sum := p.charge(key, lags, ref); sum > 0 {
-			result = append(result, steering.Behind{Service: key.service, Caller: key.caller, PPM: sum})
+			result = append(result, steering.LaggingShare{Service: key.service, Caller: key.caller, PPM: sum})
 		}
 	}
 	return result
--- a/steering/property_test.go
+++ b/steering/property_test.go
@@ -51,14 +51,14 @@
 func drawState(t *rapid.T, s *PlaceState) {
 	s.Age = drawAge(t)
 	s.Usable = rapid.SampledFrom([]int{10, 10, 10, 5, 0}).Draw(t, "usable")
-	s.Unsteady = min(s.Usable, rapid.SampledFrom([]int{0, 0, 0, 5, 10}).Draw(t, "unsteady"))
+	s.Unstable = min(s.Usable, rapid.SampledFrom([]int{0, 0, 0, 5, 10}).Draw(t, "unsteady"))
 	s.FailureShare = rapid.SampledFrom([]float64{0, 0, 0, 0.1, 0.9}).Draw(t, "failures")
 	s.P99 *= time.Duration(rapid.SampledFrom([]int{1, 1, 1, 2, 4}).Draw(t, "slowness"))
 }
 
 func drawMoves(t *rapid.T, in *Input) {
 	for range rapid.IntRange(0, 6).Draw(t, "moves") {
-		in.Moved = append(in.Moved, Move{
+		in.RecentMoves = append(in.RecentMoves, Move{
 			Service: in.Account.Services[0].Name,
 			Caller:  in.Account.Regions[0].Name,
 			Place:   rapid.SampledFrom(in.Places).Draw(t, "place").Place,
@@ -111,7 +111,7 @@
 	limit := int64(in.Account.Moves.Share * plan.Whole)
 	for _, f := range d.Plan.Flows {
 		lately, now := int64(0), int64(0)
-		for _, m := range in.Moved {
+		for _, m := range in.RecentMoves {
 			if m.Service == f.Service && m.Caller == f.Caller && m.Delta > 0 && m.Age <= in.Account.Moves.Window {
 				lately += int64(m.Delta)
 			}
@@ -177,7 +177,7 @@
 			if state.Service != m.Service || state.Place != m.Place {
 				continue
 			}
-			if state.Usable == state.Unsteady || state.FailureShare >= failingShare || state.Age >= FreezeAge || state.P99 > state.WarmP99*3/2 {
+			if state.Usable == state.Unstable || state.FailureShare >= failingShare || state.Age >= FreezeAge || state.P99 > state.WarmP99*3/2 {
 				t.Fatalf("raised %s in state %+v", m.Place, state)
 			}
 		}
--- a/steering/return_test.go
+++ b/steering/return_test.go
@@ -14,7 +14,7 @@
 	a.Moves.Share = 1
 	in := inputOf(a, 0.6)
 	in.Previous = &plan.Plan{Flows: []plan.Flow{{Service: "s0", Caller: "r00", Shares: []plan.Share{{Place: a.Places[0].Name, PPM: plan.Whole}}}}}
-	in.Moved = []Move{{Service: "s0", Caller: "r00", Place: a.Places[1].Name, Delta: -100_000, Cause: cause, Age: age}}
+	in.RecentMoves = []Move{{Service: "s0", Caller: "r00", Place: a.Places[1].Name, Delta: -100_000, Cause: cause, Age: age}}
 	d := Decide(in)
 	return in, &d
 }
@@ -33,7 +33,7 @@
 	for i := range d.Moves {
 		d.Moves[i].Age = stepInterval
 	}
-	in.Moved = append(in.Moved, d.Moves...)
+	in.RecentMoves = append(in.RecentMoves, d.Moves...)
 	next := Decide(in)
 	if got := shareAt(next.Plan, 0, place) - first; got < 41_000 || got > 42_000 {
 		t.Fatalf("%d ppm of 1200 requests/s then, want 50 requests/s", got)
--- a/steering/scenario/world_test.go
+++ b/steering/scenario/world_test.go
@@ -166,8 +166,8 @@
 	in := steering.Input{Account: w.account, Now: w.now, Previous: previous, Epoch: 1, Sequence: sequence}
 	for i, m := range w.moved {
 		m.Age = w.now.Sub(w.made[i])
-		if m.Age <= steering.MoveMemory*w.account.Moves.Window {
-			in.Moved = append(in.Moved, m)
+		if m.Age <= steering.MoveHistoryWindows*w.account.Moves.Window {
+			in.RecentMoves = append(in.RecentMoves, m)
 		}
 	}
 	newest := w.newest()
@@ -175,7 +175,7 @@
 		return in
 	}
 	reports := []aggregate.Report{{Report: newest.Report, Age: w.now.Sub(newest.at)}}
-	in.Demand, in.Places = w.aggregator.Read(w.account, reports, in.Moved, w.now)
+	in.Demand, in.Places = w.aggregator.Read(w.account, reports, in.RecentMoves, w.now)
 	return in
 }
 
--- a/steering/step/stepper.go
+++ b/steering/step/stepper.go
@@ -77,8 +77,8 @@
 	return s.effective, true
 }
 
-// Left returns the part of a flow that may still move now, 0 to 1.
-func (s *Stepper) Left(service model.ServiceName, caller model.RegionName) float64 {
+// RemainingBudget returns the part of a flow that may still move now, 0 to 1.
+func (s *Stepper) RemainingBudget(service model.ServiceName, caller model.RegionName) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.tracks[flowKey{service, caller}]
@@ -114,9 +114,9 @@
 	return t
 }
 
-// Reached returns the epoch and sequence of the last plan that the shares in
-// force were equal to, or zeros when there was none.
-func (s *Stepper) Reached() (epoch, sequence uint64) {
+// AppliedVersion returns the epoch and sequence of the last plan that was fully
+// applied, or zeros when there was none.
+func (s *Stepper) AppliedVersion() (epoch, sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reached == nil {
--- a/steering/tuning.go
+++ b/steering/tuning.go
@@ -6,9 +6,9 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// MoveMemory is how many windows of the move cap the moves must be remembered
-// for: the hold-down after repeated failures needs more than one.
-const MoveMemory = 16
+// MoveHistoryWindows is the number of move-cap windows for which moves must be
+// retained. The hold-down after repeated failures spans more than one window.
+const MoveHistoryWindows = 16
 
 const (
 	// quantum is the least change that is weighed, parts per million.
