--- a/bench/scenario/decider_world.go
+++ b/bench/scenario/decider_world.go
@@ -45,7 +45,7 @@
 	nodes       []*simulatedNode
 	// relays are by failure domain; there are none where reports go directly.
 	relays map[string]*simulatedRelay
-	listed []ledger.Listed
+	listed []ledger.ListedVM
 	// revision counts the writes that the simulated store took.
 	revision store.Revision
 	// plan is the one given out last, nil before the first.
@@ -100,7 +100,7 @@
 func (d *deciderWorld) addNodes(count, oneIn int) {
 	for i, vm := range fleet(count).VMs {
 		address := fmt.Sprintf("10.0.%d.%d:7070", i>>8, i&0xff)
-		d.listed = append(d.listed, ledger.Listed{VM: vm.ID, Address: address})
+		d.listed = append(d.listed, ledger.ListedVM{VM: vm.ID, Address: address})
 		d.nodes = append(d.nodes, &simulatedNode{
 			ref: &peerpb.NodeRef{
 				Vm: vm.ID, Incarnation: d.random.Uint64(), PeerAddress: address,
--- a/control/account.go
+++ b/control/account.go
@@ -93,7 +93,7 @@
 		Lenders: a.system.lenders,
 
 		Relays:        a.system.relays.members,
-		RelayMinFleet: o.RelayFromNodes,
+		RelayMinFleet: o.RelayMinFleet,
 		SendViaRelay:  a.system.pass,
 
 		Apply:  o.ApplyGrants,
--- a/control/allocate/allocate.go
+++ b/control/allocate/allocate.go
@@ -22,13 +22,13 @@
 	// EvenShare is the part given to all nodes alike; it lets a node serve
 	// demand that it has not seen yet.
 	EvenShare float64
-	// Enough is the part of its grant a node may use before it gets more.
-	Enough float64
+	// RaiseThreshold is the part of its grant a node may use before it gets more.
+	RaiseThreshold float64
 }
 
 // DefaultParams returns the weights in use.
 func DefaultParams() Params {
-	return Params{FloorShare: 0.7, Unassigned: 0.05, EvenShare: 0.25, Enough: 0.85}
+	return Params{FloorShare: 0.7, Unassigned: 0.05, EvenShare: 0.25, RaiseThreshold: 0.85}
 }
 
 // Node is what the split needs to know of one node. Slices are in the order
@@ -37,11 +37,11 @@
 	Region model.RegionName
 	// Demand is what the node would send, requests/s.
 	Demand []float64
-	// Have is what the node was last given as a wish, InForce what may be in
+	// Current is what the node was last given as a wish, InForce what may be in
 	// force on it.
-	Have, InForce []ledger.Amounts
-	// Silent nodes cannot be told anything: what is in force stays.
-	Silent bool
+	Current, InForce []ledger.Amounts
+	// Unreachable nodes cannot be told anything: what is in force stays.
+	Unreachable bool
 	// Leaving nodes get only what they use.
 	Leaving bool
 }
@@ -123,7 +123,7 @@
 
 func (s *split) countNode(n *Node) {
 	for k := range s.keys {
-		if !n.Silent {
+		if !n.Unreachable {
 			s.demand[k] += n.Demand[k]
 			continue
 		}
@@ -216,7 +216,7 @@
 func (s *split) shareOut() {
 	reachable := 0
 	for i := range s.nodes {
-		if !s.nodes[i].Silent && !s.nodes[i].Leaving {
+		if !s.nodes[i].Unreachable && !s.nodes[i].Leaving {
 			reachable++
 		}
 	}
@@ -227,7 +227,7 @@
 		}
 		for i := range s.nodes {
 			n := &s.nodes[i]
-			if n.Silent {
+			if n.Unreachable {
 				continue
 			}
 			part := 0.0
--- a/control/allocate/allocate_test.go
+++ b/control/allocate/allocate_test.go
@@ -21,14 +21,14 @@
 			Capacity: []model.PlaceCapacity{{Place: "e", RPS: rps}, {Place: "w", RPS: rps}},
 		}},
 	}
-	return ledger.LimitsOf(a)
+	return ledger.NewLimits(a)
 }
 
 func node(region model.RegionName, e, w float64) Node {
 	return Node{
 		Region:  region,
 		Demand:  []float64{e, w},
-		Have:    make([]ledger.Amounts, 2),
+		Current: make([]ledger.Amounts, 2),
 		InForce: make([]ledger.Amounts, 2),
 	}
 }
@@ -40,7 +40,7 @@
 // settle gives the nodes what they wish for.
 func settle(l *ledger.Limits, nodes []Node) {
 	for i, w := range wish(l, nodes) {
-		copy(nodes[i].Have, w)
+		copy(nodes[i].Current, w)
 		copy(nodes[i].InForce, w)
 	}
 }
@@ -61,7 +61,7 @@
 	wishes := wish(l, nodes)
 	for k := range 2 {
 		floor, total := sum(wishes, k)
-		if floor > ledger.AmountOf(70) || total > ledger.AmountOf(95) || total < ledger.AmountOf(94) {
+		if floor > ledger.AmountFromRPS(70) || total > ledger.AmountFromRPS(95) || total < ledger.AmountFromRPS(94) {
 			t.Errorf("key %d: floors %d of %d", k, floor, total)
 		}
 	}
@@ -76,17 +76,17 @@
 	l := limits(100, 1000, 1000)
 	nodes := []Node{node("east", 20, 0), node("east", 22, 0), node("east", 21, 0)}
 	settle(l, nodes)
-	before := append([]ledger.Amounts(nil), nodes[0].Have...)
+	before := append([]ledger.Amounts(nil), nodes[0].Current...)
 	nodes[0].Demand[0], nodes[1].Demand[0], nodes[2].Demand[0] = 23, 19, 22
 	for i, w := range wish(l, nodes) {
-		if w[0] != nodes[i].Have[0] {
-			t.Errorf("node %d changed from %v to %v", i, nodes[i].Have[0], w[0])
+		if w[0] != nodes[i].Current[0] {
+			t.Errorf("node %d changed from %v to %v", i, nodes[i].Current[0], w[0])
 		}
 	}
 	nodes[0].Demand[0] = 60
 	settle(l, nodes)
-	if nodes[0].Have[0].Total() <= before[0].Total() || nodes[1].Have[0].Total() >= before[0].Total() {
-		t.Errorf("short node %v, other %v", nodes[0].Have[0], nodes[1].Have[0])
+	if nodes[0].Current[0].Total() <= before[0].Total() || nodes[1].Current[0].Total() >= before[0].Total() {
+		t.Errorf("short node %v, other %v", nodes[0].Current[0], nodes[1].Current[0])
 	}
 }
 
@@ -100,8 +100,8 @@
 	settle(l, nodes)
 	nodes[0].Demand[0] = 5
 	for i, w := range wish(l, nodes) {
-		if w[0] != nodes[i].Have[0] {
-			t.Errorf("node %d changed from %v to %v", i, nodes[i].Have[0], w[0])
+		if w[0] != nodes[i].Current[0] {
+			t.Errorf("node %d changed from %v to %v", i, nodes[i].Current[0], w[0])
 		}
 	}
 }
@@ -113,15 +113,15 @@
 	l := limits(100, 1000, 1000)
 	nodes := []Node{node("east", 80, 0), node("east", 0, 0), node("east", 0, 0), node("east", 0, 0)}
 	settle(l, nodes)
-	first := nodes[0].Have[0].Total()
+	first := nodes[0].Current[0].Total()
 	nodes[0].Demand[0] = 4
 	settle(l, nodes)
-	if first < 2*nodes[0].Have[0].Total() {
-		t.Errorf("the first node has %d and had %d", nodes[0].Have[0].Total(), first)
+	if first < 2*nodes[0].Current[0].Total() {
+		t.Errorf("the first node has %d and had %d", nodes[0].Current[0].Total(), first)
 	}
 	for i := range nodes {
-		if nodes[i].Have[0] != nodes[0].Have[0] {
-			t.Errorf("node %d has %v, the first %v", i, nodes[i].Have[0], nodes[0].Have[0])
+		if nodes[i].Current[0] != nodes[0].Current[0] {
+			t.Errorf("node %d has %v, the first %v", i, nodes[i].Current[0], nodes[0].Current[0])
 		}
 	}
 }
@@ -132,11 +132,11 @@
 	l := limits(100, 1000, 1000)
 	nodes := []Node{node("east", 50, 0), node("east", 50, 0)}
 	settle(l, nodes)
-	nodes[1].Silent = true
+	nodes[1].Unreachable = true
 	nodes[1].InForce[0].Surplus = 0
 	floor := nodes[1].InForce[0].Floor
 	wishes := wish(l, nodes)
-	if got := wishes[0][0].Total(); got > ledger.AmountOf(95)-floor {
+	if got := wishes[0][0].Total(); got > ledger.AmountFromRPS(95)-floor {
 		t.Errorf("wishes for %d beside a silent floor of %d", got, floor)
 	}
 	if wishes[1][0] != (ledger.Amounts{Floor: floor}) {
@@ -157,10 +157,10 @@
 			entering += w[0].Total()
 		}
 	}
-	if entering > ledger.AmountOf(30) || entering < ledger.AmountOf(25) {
+	if entering > ledger.AmountFromRPS(30) || entering < ledger.AmountFromRPS(25) {
 		t.Errorf("%d enter by a link of 30 requests/s", entering)
 	}
-	if inside > ledger.AmountOf(60) {
+	if inside > ledger.AmountFromRPS(60) {
 		t.Errorf("%d in a region of 60 requests/s", inside)
 	}
 }
--- a/control/allocate/choose.go
+++ b/control/allocate/choose.go
@@ -40,8 +40,8 @@
 
 func (s *split) choose(i, k int) ledger.Amounts {
 	n := &s.nodes[i]
-	have := n.Have[k]
-	if n.Silent {
+	have := n.Current[k]
+	if n.Unreachable {
 		return ledger.Amounts{Floor: have.Floor}
 	}
 	share := s.amounts(i, k)
@@ -54,7 +54,7 @@
 		return have
 	}
 	used := n.Demand[k] * float64(grant.PerRequest)
-	short := used > total*s.params.Enough && wanted > total*(1+leastRaise)
+	short := used > total*s.params.RaiseThreshold && wanted > total*(1+leastRaise)
 	filling := used > total*atRest && total < wanted*tooLittle
 	if short || filling || total < min(wanted, s.even[k])*tooLittle {
 		return share
@@ -96,7 +96,7 @@
 func (s *split) sumKey(k int) float64 {
 	sum := 0.0
 	for i := range s.nodes {
-		if !s.nodes[i].Silent {
+		if !s.nodes[i].Unreachable {
 			sum += float64(s.wishes[i][k].Total())
 		}
 	}
@@ -105,7 +105,7 @@
 
 func (s *split) sumRegion(name model.RegionName) (inside, entering float64) {
 	for i := range s.nodes {
-		if s.nodes[i].Silent {
+		if s.nodes[i].Unreachable {
 			continue
 		}
 		for k := range s.keys {
@@ -133,7 +133,7 @@
 func (s *split) lower(k int, of func(*Node) bool) {
 	for i := range s.nodes {
 		n := &s.nodes[i]
-		if n.Silent || !of(n) {
+		if n.Unreachable || !of(n) {
 			continue
 		}
 		share := s.amounts(i, k)
@@ -160,7 +160,7 @@
 func (s *split) takeWishes(k int) (sum float64) {
 	entering := 0.0
 	for i := range s.nodes {
-		if s.nodes[i].Silent {
+		if s.nodes[i].Unreachable {
 			continue
 		}
 		total := float64(s.wishes[i][k].Total())
@@ -197,7 +197,7 @@
 func (s *split) fillNode(i, k int, room float64) float64 {
 	total := float64(s.wishes[i][k].Total())
 	share := s.share[i][k]
-	if s.nodes[i].Silent || s.nodes[i].Leaving || total >= share*nearShare {
+	if s.nodes[i].Unreachable || s.nodes[i].Leaving || total >= share*nearShare {
 		return 0
 	}
 	given := min(share-total, room)
--- a/control/decider/bench_test.go
+++ b/control/decider/bench_test.go
@@ -62,10 +62,10 @@
 		tb.Fatal(err)
 	}
 	t.core = core
-	var list []ledger.Listed
+	var list []ledger.ListedVM
 	for i := range nodes {
 		t.requests = append(t.requests, t.request(i))
-		list = append(list, ledger.Listed{VM: t.requests[i].Node.Vm, Address: t.requests[i].Node.PeerAddress})
+		list = append(list, ledger.ListedVM{VM: t.requests[i].Node.Vm, Address: t.requests[i].Node.PeerAddress})
 	}
 	for range 10 {
 		t.step()
--- a/control/decider/core.go
+++ b/control/decider/core.go
@@ -80,7 +80,7 @@
 		reports:  make(map[grant.NodeID]*reported),
 		nodes:    make(map[uint64]ledger.Node),
 	}
-	limits := ledger.LimitsOf(account)
+	limits := ledger.NewLimits(account)
 	if entry.Revision == 0 {
 		c.ledger = ledger.New(options.Ledger, epoch, limits)
 	} else {
@@ -94,8 +94,8 @@
 		return nil, err
 	}
 	c.ledger.Rewrite(now)
-	if options.Ledger.Faults.NoRewrite {
-		c.ledger.Written()
+	if options.Ledger.Faults.SkipRewrite {
+		c.ledger.ConfirmWrite()
 	}
 	return c, nil
 }
@@ -123,8 +123,8 @@
 func (c *Core) PlannerOutput() PlannerOutput { return c.planned }
 
 // ObserveVMs takes in a reading of the VM list that was made at readAt.
-func (c *Core) ObserveVMs(list []ledger.Listed, sequence uint64, readAt time.Time) {
-	c.ledger.Observe(list, sequence, readAt)
+func (c *Core) ObserveVMs(list []ledger.ListedVM, sequence uint64, readAt time.Time) {
+	c.ledger.ObserveVMs(list, sequence, readAt)
 }
 
 // Step makes the decisions due at now and returns the write that must be made
@@ -162,7 +162,7 @@
 }
 
 func (c *Core) decide(account *model.Account, now time.Time) {
-	if c.ledger.SetLimits(ledger.LimitsOf(account)) {
+	if c.ledger.SetLimits(ledger.NewLimits(account)) {
 		c.account = account
 	}
 	c.forget(now)
@@ -219,8 +219,8 @@
 		return ErrSuperseded
 	case errors.Is(err, store.ErrUnavailable) && !c.uncertain:
 		return nil
-	case c.options.Ledger.Faults.UnknownIsFailed:
-		c.ledger.NotWritten()
+	case c.options.Ledger.Faults.TreatUnknownAsFailed:
+		c.ledger.DiscardWrite()
 		return nil
 	default:
 		c.uncertain = true
@@ -234,7 +234,7 @@
 // Resolve settles a write with a conflict after a lost answer: the stored
 // ledger bears its stamp if it took effect.
 func (c *Core) Resolve(entry store.Entry) error {
-	stamp, err := ledger.StampOf(entry.Value)
+	stamp, err := ledger.DecodeStamp(entry.Value)
 	if err != nil {
 		return err
 	}
@@ -249,8 +249,8 @@
 func (c *Core) written(revision store.Revision) {
 	c.revision = revision
 	c.uncertain = false
-	c.ledger.Written()
-	if !c.ledger.Unsaved() && c.previous != nil && c.previous.Epoch == c.Epoch() {
+	c.ledger.ConfirmWrite()
+	if !c.ledger.HasUnsavedPlan() && c.previous != nil && c.previous.Epoch == c.Epoch() {
 		c.ready = c.previous
 	}
 }
@@ -266,7 +266,7 @@
 	if c.ready == nil || c.ready != c.previous {
 		return
 	}
-	c.ledger.Published(now)
+	c.ledger.MarkPublished(now)
 }
 
 func sameFlows(a, b []plan.Flow) bool {
--- a/control/decider/hasten.go
+++ b/control/decider/hasten.go
@@ -20,7 +20,7 @@
 // out.
 func (c *Core) NodesToHasten(now time.Time) []ledger.Node {
 	var nodes []ledger.Node
-	for _, node := range c.ledger.Untold() {
+	for _, node := range c.ledger.OutdatedNodes() {
 		r := c.reports[node.ID]
 		if r == nil || c.silent(r, now) || !c.seldom(r, now) {
 			continue
--- a/control/decider/renew.go
+++ b/control/decider/renew.go
@@ -38,7 +38,7 @@
 	if code != result.OK {
 		return &peerpb.RenewResponse{Code: uint32(code)}, false
 	}
-	c.ledger.Hear(node, now)
+	c.ledger.RecordContact(node, now)
 	c.ledger.Acknowledge(node.ID, request.AppliedEpoch, request.AppliedSequence)
 	if request.Stopped {
 		c.ledger.Release(node.ID)
@@ -82,7 +82,7 @@
 	}
 	r := c.reports[node.ID]
 	response.ReportNames = r != nil && r.incomplete
-	if request.AppliedEpoch == issued.Epoch && request.AppliedSequence >= issued.First {
+	if request.AppliedEpoch == issued.Epoch && request.AppliedSequence >= issued.FirstSequence {
 		response.Unchanged = true
 		return response
 	}
@@ -173,7 +173,7 @@
 
 // remember notes the hash of a node that named itself.
 func (c *Core) remember(ref *peerpb.NodeRef, node ledger.Node, r *reported) {
-	r.key = names.Node(ref)
+	r.key = names.HashNode(ref)
 	if other, ok := c.nodes[r.key]; ok && other != node {
 		node = ledger.Node{}
 	}
--- a/control/decider/renew_test.go
+++ b/control/decider/renew_test.go
@@ -102,11 +102,11 @@
 			term := newTerm(t, 2)
 			request := term.requests[1]
 			id := nodeOf(request.Node).ID
-			request.NodeKey = names.Node(request.Node)
+			request.NodeKey = names.HashNode(request.Node)
 			c.change(term.core, request)
 			request.Node = nil
 			// Other amounts, so that they are sent.
-			term.core.Ledger().Want(id, make([]ledger.Amounts, len(term.core.Ledger().Keys())))
+			term.core.Ledger().SetWanted(id, make([]ledger.Amounts, len(term.core.Ledger().Keys())))
 			response := term.core.Renew(request, term.now)
 			if response.Code != uint32(c.want) {
 				t.Fatalf("code %d, want %d", response.Code, c.want)
@@ -133,7 +133,7 @@
 		return &peerpb.PlaceLoad{Service: "desk", Place: place, SentRps: sent}
 	}
 	first := take(&peerpb.RenewRequest{Places: []*peerpb.PlaceLoad{load("a", 1), load("b", 2)}})
-	hash := names.Places(first)
+	hash := names.HashPlaces(first)
 	next := []*peerpb.PlaceLoad{{SentRps: 3}, {SentRps: 4}}
 	got := take(&peerpb.RenewRequest{PlaceNames: hash, Places: next})
 	if len(got) != 2 || got[0].Place != "a" || got[0].SentRPS != 3 || got[1].Place != "b" || got[1].Service != "desk" {
--- a/control/decider/reported.go
+++ b/control/decider/reported.go
@@ -94,7 +94,7 @@
 		r.Flows = known
 		return old.flowNames != 0
 	case request.FlowNames == 0:
-		old.flowNames = names.Flows(r.Flows)
+		old.flowNames = names.HashFlows(r.Flows)
 		return true
 	case request.FlowNames != old.flowNames || len(known) != len(r.Flows):
 		r.Flows = known
@@ -114,7 +114,7 @@
 		r.Places = known
 		return old.placeNames != 0
 	case request.PlaceNames == 0:
-		old.placeNames = names.Places(r.Places)
+		old.placeNames = names.HashPlaces(r.Places)
 		return true
 	case request.PlaceNames != old.placeNames || len(known) != len(r.Places):
 		r.Places = known
@@ -197,17 +197,17 @@
 	for i, s := range states {
 		r := c.reports[s.Node.ID]
 		nodes[i] = allocate.Node{
-			Region:  s.Node.Region,
-			Demand:  c.demand(r, keys),
-			Have:    s.Wanted,
-			InForce: s.InForce,
-			Silent:  c.silent(r, now),
-			Leaving: s.Leaving,
+			Region:      s.Node.Region,
+			Demand:      c.demand(r, keys),
+			Current:     s.Wanted,
+			InForce:     s.InForce,
+			Unreachable: c.silent(r, now),
+			Leaving:     s.Leaving,
 		}
 	}
 	wishes := allocate.Split(c.ledger.Limits(), keys, nodes, c.options.Allocate)
 	for i, s := range states {
-		c.ledger.Want(s.Node.ID, wishes[i])
+		c.ledger.SetWanted(s.Node.ID, wishes[i])
 	}
 }
 
--- a/control/decider/runner.go
+++ b/control/decider/runner.go
@@ -34,7 +34,7 @@
 	Configured func() *model.Account
 	// VMList returns the last reading of the VM list, its sequence and age; ok is
 	// false while there is none.
-	VMList func() (list []ledger.Listed, sequence uint64, age time.Duration, ok bool)
+	VMList func() (list []ledger.ListedVM, sequence uint64, age time.Duration, ok bool)
 	// Publish sends a plan to all nodes. It must not wait for them.
 	Publish func(*plan.Plan)
 	// HastenNode asks a node to report; it must not wait for the node.
@@ -346,9 +346,9 @@
 	l := r.core.Ledger()
 	s.Deciding = true
 	s.Epoch = r.core.Epoch()
-	s.Nodes = l.Nodes()
-	s.Unlisted = l.Unlisted()
-	s.LedgerBytes = l.Bytes()
+	s.Nodes = l.NodeCount()
+	s.Unlisted = l.UnlistedCount()
+	s.LedgerBytes = l.RecordSize()
 	s.Explanation = r.core.PlannerOutput().Explanation
 	if err := l.Outstanding(r.options.Clock()).Check(l.Limits()); err != nil {
 		s.Over = err.Error()
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -154,7 +154,7 @@
 		DeciderOf:   m.deciderOf,
 		Logger:      logger,
 
-		RelayFromNodes: m.fleet.relayFrom,
+		RelayMinFleet: m.fleet.relayFrom,
 	}
 }
 
@@ -330,8 +330,8 @@
 
 // check sums what all live nodes may send.
 func (f *fleet) check() {
-	use := ledger.NewUse()
-	limits := ledger.LimitsOf(f.account)
+	use := ledger.NewUsage()
+	limits := ledger.NewLimits(f.account)
 	for _, m := range f.nodes {
 		m.mu.Lock()
 		for _, key := range limits.Keys() {
--- a/control/holder/borrow.go
+++ b/control/holder/borrow.go
@@ -81,7 +81,7 @@
 		grants = append(grants, &peerpb.Grant{
 			Service: string(p.Service),
 			Place:   string(p.Place),
-			Floor:   uint64(ledger.AmountOf(rps)),
+			Floor:   uint64(ledger.AmountFromRPS(rps)),
 		})
 	}
 	return grants
--- a/control/holder/brief.go
+++ b/control/holder/brief.go
@@ -52,7 +52,7 @@
 	case recent && slices.Equal(b.told.Flows, report.Flows):
 		request.Flows = nil
 		request.FlowsSame = true
-	case names.Flows(report.Flows) == b.flows:
+	case names.HashFlows(report.Flows) == b.flows:
 		request.FlowNames = b.flows
 		for _, f := range request.Flows {
 			f.Service, f.Caller = "", ""
@@ -65,7 +65,7 @@
 	case recent && samePlaces(b.told, report):
 		request.Places = nil
 		request.PlacesSame = true
-	case names.Places(report.Places) == b.places:
+	case names.HashPlaces(report.Places) == b.places:
 		request.PlaceNames = b.places
 		for _, p := range request.Places {
 			p.Service, p.Place = "", ""
@@ -81,11 +81,11 @@
 	}
 	if request.NodeKey == 0 {
 		b.epoch = response.Epoch
-		b.node = names.Node(request.Node)
+		b.node = names.HashNode(request.Node)
 	}
 	b.told.Flows = report.Flows
 	if !request.FlowsSame && request.FlowNames == 0 {
-		b.flows = names.Flows(report.Flows)
+		b.flows = names.HashFlows(report.Flows)
 	}
 	if request.PlacesSame {
 		return
@@ -93,6 +93,6 @@
 	b.told.Places, b.told.Interval = report.Places, report.Interval
 	b.at = now
 	if request.PlaceNames == 0 {
-		b.places = names.Places(report.Places)
+		b.places = names.HashPlaces(report.Places)
 	}
 }
--- a/control/holder/core_test.go
+++ b/control/holder/core_test.go
@@ -205,7 +205,7 @@
 	if sent := c.StartRequest(start); sent.Sequence != 1 {
 		t.Fatalf("acknowledged %d with a loan out", sent.Sequence)
 	}
-	later := start.Add(ledger.DefaultParams().Wait(ledger.DefaultLoanTTL))
+	later := start.Add(ledger.DefaultParams().WithMargin(ledger.DefaultLoanTTL))
 	tickUntil(c, start, later)
 	c.Tick(later)
 	if sent := c.StartRequest(later); sent.Sequence != 2 {
--- a/control/holder/loan.go
+++ b/control/holder/loan.go
@@ -39,7 +39,7 @@
 	if l == nil {
 		l = c.addLent(request)
 	}
-	l.until = now.Add(c.options.Params.Wait(c.options.Params.LoanTTL))
+	l.until = now.Add(c.options.Params.WithMargin(c.options.Params.LoanTTL))
 	if !c.options.Params.Faults.LendWithoutLowering {
 		c.rebuild()
 	}
@@ -113,7 +113,7 @@
 		return false
 	}
 	from := sentAt
-	if c.options.Params.Faults.LoanFromReceipt {
+	if c.options.Params.Faults.LoanExpiryFromReceipt {
 		from = now
 	}
 	l := loan{
--- a/control/holder/report.go
+++ b/control/holder/report.go
@@ -92,7 +92,7 @@
 // late reports whether the answer may rest on a state that is gone: the
 // decider may have removed the node since it sent the answer.
 func (c *Core) late(sent SentRequest, now time.Time) bool {
-	if c.options.Params.Faults.KeepFloorsAfterPause || c.options.Params.Faults.TakeLateAnswers {
+	if c.options.Params.Faults.KeepFloorsAfterPause || c.options.Params.Faults.AcceptLateResponses {
 		return false
 	}
 	if now.Sub(sent.At) >= c.options.RequestTimeout || !sent.At.After(c.voided) {
@@ -137,7 +137,7 @@
 // loans. Otherwise the borrowers have more in force than the set says, and the
 // decider must go on counting the larger floor of an earlier set.
 func (c *Core) acknowledge() {
-	if !c.coversLoans() && !c.options.Params.Faults.AcknowledgeLent {
+	if !c.coversLoans() && !c.options.Params.Faults.AcknowledgeLentFloors {
 		return
 	}
 	c.acknowledgedEpoch = c.epoch
--- a/control/internal/names/hash.go
+++ b/control/internal/names/hash.go
@@ -36,8 +36,8 @@
 // short is the hash where a collision costs a wrong measurement only.
 func (h *Hasher) short() uint32 { return max(uint32(h.digest.Sum64()), 1) }
 
-// Places hashes the services and places of loads.
-func Places(places []observe.PlaceLoad) uint32 {
+// HashPlaces hashes the services and places of loads.
+func HashPlaces(places []observe.PlaceLoad) uint32 {
 	h := NewHasher()
 	for i := range places {
 		h.Add(string(places[i].Service))
@@ -46,8 +46,8 @@
 	return h.short()
 }
 
-// Flows hashes the services and callers of flows.
-func Flows(flows []observe.FlowDemand) uint32 {
+// HashFlows hashes the services and callers of flows.
+func HashFlows(flows []observe.FlowDemand) uint32 {
 	h := NewHasher()
 	for i := range flows {
 		h.Add(string(flows[i].Service))
@@ -56,8 +56,8 @@
 	return h.short()
 }
 
-// Node hashes all that names a life of a node.
-func Node(ref *peerpb.NodeRef) uint64 {
+// HashNode hashes all that names a life of a node.
+func HashNode(ref *peerpb.NodeRef) uint64 {
 	h := NewHasher()
 	for _, name := range [...]string{ref.GetVm(), ref.GetPeerAddress(), ref.GetPlace(), ref.GetRegion()} {
 		h.Add(name)
--- a/control/ledger/bench_test.go
+++ b/control/ledger/bench_test.go
@@ -41,27 +41,27 @@
 
 // full returns a ledger in which each node holds a part of each key.
 func full(nodes int) (*Ledger, []Node) {
-	l := New(DefaultParams(), 1, LimitsOf(benchAccount()))
+	l := New(DefaultParams(), 1, NewLimits(benchAccount()))
 	l.Rewrite(start)
-	l.Written()
+	l.ConfirmWrite()
 	var all []Node
 	for i := range nodes {
 		n := Node{
-			ID:      grant.NodeID{VM: fmt.Sprintf("entry-%04d", i), Incarnation: uint64(i) << 40},
-			Region:  regionName(i % benchRegions),
-			Address: fmt.Sprintf("10.0.%d.%d:7100", i/250, i%250),
-			Listed:  1,
+			ID:           grant.NodeID{VM: fmt.Sprintf("entry-%04d", i), Incarnation: uint64(i) << 40},
+			Region:       regionName(i % benchRegions),
+			Address:      fmt.Sprintf("10.0.%d.%d:7100", i/250, i%250),
+			ListSequence: 1,
 		}
 		all = append(all, n)
-		l.Hear(n, start)
+		l.RecordContact(n, start)
 		w := make([]Amounts, len(l.Keys()))
 		for k := range w {
-			w[k] = Amounts{Floor: AmountOf(14_000 / float64(nodes)), Surplus: AmountOf(6_000 / float64(nodes))}
+			w[k] = Amounts{Floor: AmountFromRPS(14_000 / float64(nodes)), Surplus: AmountFromRPS(6_000 / float64(nodes))}
 		}
-		l.Want(n.ID, w)
+		l.SetWanted(n.ID, w)
 	}
 	l.Propose(start)
-	l.Written()
+	l.ConfirmWrite()
 	for _, n := range all {
 		l.Issue(n.ID, start)
 	}
@@ -95,10 +95,10 @@
 				extra = 1 - extra
 				changeAll(l, all, extra)
 				if l.Propose(start) != nil {
-					l.Written()
+					l.ConfirmWrite()
 				}
 			}
-			b.ReportMetric(float64(l.Bytes()), "ledger-bytes")
+			b.ReportMetric(float64(l.RecordSize()), "ledger-bytes")
 		})
 	}
 }
@@ -111,7 +111,7 @@
 	for _, n := range all {
 		h := l.nodes[n.ID]
 		clear(h.reserved)
-		l.Want(n.ID, w)
+		l.SetWanted(n.ID, w)
 	}
 }
 
@@ -130,10 +130,10 @@
 	const limit = 1 << 20
 	for _, nodes := range benchNodes {
 		l, _ := full(nodes)
-		perEntry := float64(l.Bytes()) / float64(nodes*len(l.Keys()))
-		t.Logf("%d nodes, %d keys: %d bytes, %.1f for each node and key", nodes, len(l.Keys()), l.Bytes(), perEntry)
-		if l.Bytes() > limit/4 {
-			t.Errorf("%d nodes take %d bytes", nodes, l.Bytes())
+		perEntry := float64(l.RecordSize()) / float64(nodes*len(l.Keys()))
+		t.Logf("%d nodes, %d keys: %d bytes, %.1f for each node and key", nodes, len(l.Keys()), l.RecordSize(), perEntry)
+		if l.RecordSize() > limit/4 {
+			t.Errorf("%d nodes take %d bytes", nodes, l.RecordSize())
 		}
 	}
 }
--- a/control/ledger/issue.go
+++ b/control/ledger/issue.go
@@ -6,8 +6,8 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// Hear notes that a node was heard, which adds it when it is new.
-func (l *Ledger) Hear(node Node, now time.Time) {
+// RecordContact notes that a node was heard, which adds it when it is new.
+func (l *Ledger) RecordContact(node Node, now time.Time) {
 	h := l.nodes[node.ID]
 	if h == nil {
 		h = l.add(node)
@@ -55,21 +55,21 @@
 	l.released = true
 }
 
-// Want asks for amounts in the order of Keys; they are given by Propose.
-func (l *Ledger) Want(id grant.NodeID, wanted []Amounts) {
+// SetWanted asks for amounts in the order of Keys; they are given by Propose.
+func (l *Ledger) SetWanted(id grant.NodeID, wanted []Amounts) {
 	if h := l.nodes[id]; h != nil {
 		copy(h.wanted, wanted)
 	}
 }
 
-// Issued is a set to be sent.
-type Issued struct {
+// IssuedSet is a set to be sent.
+type IssuedSet struct {
 	Epoch, Sequence uint64
 	TTL             time.Duration
 	// Amounts is in the order of Keys and must not be changed.
 	Amounts []Amounts
-	// First is the first sequence of this epoch that had the same content.
-	First uint64
+	// FirstSequence is the first sequence of this epoch that had the same content.
+	FirstSequence uint64
 }
 
 // Issue returns the set that answers a report received at now. What it holds
@@ -77,10 +77,10 @@
 // for its time to live and the margin. now must be read after the report was
 // received and before the lease was checked, so that a decider which lost its
 // lease in between gave nothing that outlives the wait of its successor.
-func (l *Ledger) Issue(id grant.NodeID, now time.Time) (Issued, bool) {
+func (l *Ledger) Issue(id grant.NodeID, now time.Time) (IssuedSet, bool) {
 	h := l.nodes[id]
 	if h == nil || !l.rewritten {
-		return Issued{}, false
+		return IssuedSet{}, false
 	}
 	l.sequence++
 	if !h.same() || h.latestFrom == 0 {
@@ -92,12 +92,12 @@
 	if l.params.Faults.FreeBeforeAcknowledged {
 		clear(h.older)
 	}
-	return Issued{
-		Epoch:    l.epoch,
-		Sequence: l.sequence,
-		TTL:      l.params.SurplusTTL,
-		Amounts:  h.latest,
-		First:    h.latestFrom,
+	return IssuedSet{
+		Epoch:         l.epoch,
+		Sequence:      l.sequence,
+		TTL:           l.params.SurplusTTL,
+		Amounts:       h.latest,
+		FirstSequence: h.latestFrom,
 	}, true
 }
 
@@ -110,9 +110,9 @@
 	return true
 }
 
-// Untold returns the nodes that were given a set in this term and whose next set
+// OutdatedNodes returns the nodes that were given a set in this term and whose next set
 // has other amounts.
-func (l *Ledger) Untold() []Node {
+func (l *Ledger) OutdatedNodes() []Node {
 	var untold []Node
 	for _, h := range l.order {
 		if h.latestFrom != 0 && !h.same() {
--- a/control/ledger/ledger.go
+++ b/control/ledger/ledger.go
@@ -5,9 +5,9 @@
 //
 // The order of use by a decider:
 //
-//	Load (takeover) -> Rewrite -> write to the store -> Written
-//	loop: Want, Propose -> write to the store -> Written | NotWritten
-//	on each report: Hear, Acknowledge, Issue -> send
+//	Load (takeover) -> Rewrite -> write to the store -> ConfirmWrite
+//	loop: SetWanted, Propose -> write to the store -> ConfirmWrite | DiscardWrite
+//	on each report: RecordContact, Acknowledge, Issue -> send
 //
 // A write whose outcome is unknown is sent again with the same bytes and the
 // same expected revision until it is known; Propose returns it until then.
@@ -80,30 +80,30 @@
 // that an index stays valid.
 func (l *Ledger) Keys() []Key { return l.keys }
 
-// Nodes returns how many lives of nodes the ledger counts.
-func (l *Ledger) Nodes() int { return len(l.order) }
+// NodeCount returns how many lives of nodes the ledger counts.
+func (l *Ledger) NodeCount() int { return len(l.order) }
 
-// Unlisted returns how many nodes that were heard no VM list has shown at
+// UnlistedCount returns how many nodes that were heard no VM list has shown at
 // their address. They get no floor.
-func (l *Ledger) Unlisted() int {
+func (l *Ledger) UnlistedCount() int {
 	n := 0
 	for _, h := range l.order {
-		if h.node.Listed == 0 {
+		if h.node.ListSequence == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// Bytes returns the size of the last write proposed.
-func (l *Ledger) Bytes() int { return l.bytes }
+// RecordSize returns the size of the last write proposed.
+func (l *Ledger) RecordSize() int { return l.bytes }
 
 // SetLimits takes capacities into use. It returns false, and changes nothing,
 // for a configuration older than one the ledger was bounded by: a decider that
 // lags behind its predecessor must not raise by capacities that an operator
 // has lowered since.
 func (l *Ledger) SetLimits(limits *Limits) bool {
-	if limits.Revision < l.revision && !l.params.Faults.OldConfiguration {
+	if limits.Revision < l.revision && !l.params.Faults.AcceptOldConfiguration {
 		return false
 	}
 	l.limits = limits
@@ -159,22 +159,22 @@
 }
 
 // Outstanding sums the largest amounts that may be in force.
-func (l *Ledger) Outstanding(now time.Time) *Use {
+func (l *Ledger) Outstanding(now time.Time) *Usage {
 	return l.sum(func(h *holding, k int) Amounts { return h.inForce(k, now) })
 }
 
 // Reserved sums what the store's ledger counts.
-func (l *Ledger) Reserved() *Use {
+func (l *Ledger) Reserved() *Usage {
 	return l.sum(func(h *holding, k int) Amounts { return h.reserved[k] })
 }
 
 // Allowed sums what may be sent.
-func (l *Ledger) Allowed() *Use {
+func (l *Ledger) Allowed() *Usage {
 	return l.sum(func(h *holding, k int) Amounts { return h.allowed[k] })
 }
 
-func (l *Ledger) sum(of func(*holding, int) Amounts) *Use {
-	use := NewUse()
+func (l *Ledger) sum(of func(*holding, int) Amounts) *Usage {
+	use := NewUsage()
 	for _, h := range l.order {
 		for k, key := range l.keys {
 			use.Add(l.limits, h.node.Region, key, of(h, k).Total())
@@ -188,9 +188,9 @@
 	Node Node
 	// Wanted is what was last asked for, InForce what may be in force.
 	Wanted, InForce []Amounts
-	// Heard is when the node was last heard, zero for never.
-	Heard   time.Time
-	Leaving bool
+	// LastContact is when the node was last heard, zero for never.
+	LastContact time.Time
+	Leaving     bool
 }
 
 // States returns all nodes in a fixed order. The slices are the ledger's own
@@ -203,7 +203,7 @@
 		for k := range inForce {
 			inForce[k] = h.inForce(k, now)
 		}
-		states[i] = NodeState{Node: h.node, Wanted: h.wanted, InForce: inForce, Heard: h.heard, Leaving: h.leaving}
+		states[i] = NodeState{Node: h.node, Wanted: h.wanted, InForce: inForce, LastContact: h.heard, Leaving: h.leaving}
 	}
 	return states
 }
--- a/control/ledger/ledger_test.go
+++ b/control/ledger/ledger_test.go
@@ -29,32 +29,32 @@
 }
 
 func node(vm string) Node {
-	return Node{ID: grant.NodeID{VM: vm, Incarnation: 1}, Region: "east", Address: vm + ":1", Listed: 1}
+	return Node{ID: grant.NodeID{VM: vm, Incarnation: 1}, Region: "east", Address: vm + ":1", ListSequence: 1}
 }
 
 // begun returns a ledger whose first write has been made.
 func begun(t *testing.T, nodes ...Node) *Ledger {
 	t.Helper()
-	l := New(DefaultParams(), 1, LimitsOf(twoRegions(100)))
+	l := New(DefaultParams(), 1, NewLimits(twoRegions(100)))
 	l.Rewrite(start)
-	l.Written()
+	l.ConfirmWrite()
 	for _, n := range nodes {
-		l.Hear(n, start)
+		l.RecordContact(n, start)
 	}
 	return l
 }
 
 func want(l *Ledger, n Node, floor, surplus float64) {
 	w := make([]Amounts, len(l.Keys()))
-	w[0] = Amounts{Floor: AmountOf(floor), Surplus: AmountOf(surplus)}
-	l.Want(n.ID, w)
+	w[0] = Amounts{Floor: AmountFromRPS(floor), Surplus: AmountFromRPS(surplus)}
+	l.SetWanted(n.ID, w)
 }
 
 func commit(l *Ledger, now time.Time) bool {
 	if l.Propose(now) == nil {
 		return false
 	}
-	l.Written()
+	l.ConfirmWrite()
 	return true
 }
 
@@ -77,14 +77,14 @@
 
 func wantFloor(t *testing.T, l *Ledger, n Node, now time.Time, rps float64, when string) {
 	t.Helper()
-	if got, _ := issued(t, l, n, now); got.Floor != AmountOf(rps) {
+	if got, _ := issued(t, l, n, now); got.Floor != AmountFromRPS(rps) {
 		t.Fatalf("floor %v %s, want that of %v requests/s", got.Floor, when, rps)
 	}
 }
 
 func wantSurplus(t *testing.T, l *Ledger, n Node, now time.Time, rps float64, when string) {
 	t.Helper()
-	if got, _ := issued(t, l, n, now); got.Surplus != AmountOf(rps) {
+	if got, _ := issued(t, l, n, now); got.Surplus != AmountFromRPS(rps) {
 		t.Fatalf("surplus %v %s, want that of %v requests/s", got.Surplus, when, rps)
 	}
 }
@@ -99,7 +99,7 @@
 		t.Fatal("a raise needs a write")
 	}
 	wantFloor(t, l, a, start, 0, "before the write")
-	l.Written()
+	l.ConfirmWrite()
 	wantFloor(t, l, a, start, 40, "after the write")
 }
 
@@ -131,8 +131,8 @@
 	_, sequence := issued(t, l, a, start)
 	want(l, b, 80, 0)
 	later := start.Add(time.Hour)
-	l.Hear(a, later)
-	l.Hear(b, later)
+	l.RecordContact(a, later)
+	l.RecordContact(b, later)
 	commit(l, later)
 	wantFloor(t, l, b, later, 0, "before the acknowledgement")
 	l.Acknowledge(a.ID, 1, sequence)
@@ -148,7 +148,7 @@
 	give(t, l, a, 0, 100)
 	want(l, a, 0, 0)
 	want(l, b, 0, 100)
-	ends := start.Add(l.params.Wait(l.params.SurplusTTL))
+	ends := start.Add(l.params.WithMargin(l.params.SurplusTTL))
 	commit(l, ends.Add(-time.Nanosecond))
 	wantSurplus(t, l, b, ends.Add(-time.Nanosecond), 0, "before its time ended")
 	commit(l, ends)
@@ -163,15 +163,15 @@
 	l := begun(t, a, b)
 	give(t, l, a, 100, 0)
 	dropped := start.Add(time.Hour)
-	listed := []Listed{{VM: "b", Address: "b:1"}}
-	l.Observe(listed, 2, dropped)
+	listed := []ListedVM{{VM: "b", Address: "b:1"}}
+	l.ObserveVMs(listed, 2, dropped)
 	want(l, b, 100, 0)
-	free := dropped.Add(l.params.Wait(l.params.RemovalTime))
-	l.Hear(b, free)
-	l.Observe(listed, 2, free.Add(-time.Nanosecond))
+	free := dropped.Add(l.params.WithMargin(l.params.RemovalTime))
+	l.RecordContact(b, free)
+	l.ObserveVMs(listed, 2, free.Add(-time.Nanosecond))
 	commit(l, free.Add(-time.Nanosecond))
 	wantFloor(t, l, b, free, 0, "before its time ended")
-	l.Observe(listed, 2, free)
+	l.ObserveVMs(listed, 2, free)
 	commit(l, free)
 	wantFloor(t, l, b, free, 100, "after the removal time")
 }
@@ -184,17 +184,17 @@
 	a, b := node("a"), node("b")
 	l := begun(t, a, b)
 	give(t, l, a, 100, 0)
-	listed := []Listed{{VM: "b", Address: "b:1"}}
+	listed := []ListedVM{{VM: "b", Address: "b:1"}}
 	want(l, b, 100, 0)
 	back := start.Add(time.Hour)
 	for now := start; now.Before(back); now = now.Add(time.Minute) {
-		l.Hear(b, now)
-		l.Observe(listed, 2, start)
+		l.RecordContact(b, now)
+		l.ObserveVMs(listed, 2, start)
 		commit(l, now)
 		wantFloor(t, l, b, now, 0, "while the list was out")
 	}
-	l.Hear(b, back)
-	l.Observe(listed, 2, back)
+	l.RecordContact(b, back)
+	l.ObserveVMs(listed, 2, back)
 	commit(l, back)
 	wantFloor(t, l, b, back, 100, "once a reading told the absence")
 }
@@ -208,10 +208,10 @@
 	l := begun(t, a)
 	give(t, l, a, 100, 0)
 	restarted := start.Add(time.Second)
-	free := restarted.Add(l.params.Wait(l.params.RemovalTime))
+	free := restarted.Add(l.params.WithMargin(l.params.RemovalTime))
 	for now := restarted; now.Before(free); now = now.Add(time.Second) {
-		l.Hear(second, now)
-		l.Observe([]Listed{{VM: "a", Address: "a:1"}}, 1, now)
+		l.RecordContact(second, now)
+		l.ObserveVMs([]ListedVM{{VM: "a", Address: "a:1"}}, 1, now)
 		want(l, second, 100, 0)
 		commit(l, now)
 		if got, _ := issued(t, l, second, now); got.Floor != 0 {
@@ -226,13 +226,13 @@
 // node yet, which is no sign that it ended.
 func TestOlderListProvesNothing(t *testing.T) {
 	a := node("a")
-	a.Listed = 7
+	a.ListSequence = 7
 	l := begun(t, a)
 	give(t, l, a, 100, 0)
 	later := start.Add(time.Hour)
-	l.Observe(nil, 6, start)
+	l.ObserveVMs(nil, 6, start)
 	l.Propose(later)
-	if l.Nodes() != 1 {
+	if l.NodeCount() != 1 {
 		t.Fatal("removed by a list older than the one that showed the node")
 	}
 }
@@ -245,7 +245,7 @@
 	give(t, l, a, 80, 0)
 	lowered := twoRegions(50)
 	lowered.Revision = 2
-	l.SetLimits(LimitsOf(lowered))
+	l.SetLimits(NewLimits(lowered))
 	want(l, a, 20, 0)
 	want(l, b, 30, 0)
 	commit(l, start)
@@ -254,7 +254,7 @@
 	l.Acknowledge(a.ID, 1, sequence)
 	commit(l, start)
 	wantFloor(t, l, b, start, 30, "once there was room")
-	if l.SetLimits(LimitsOf(twoRegions(100))) {
+	if l.SetLimits(NewLimits(twoRegions(100))) {
 		t.Fatal("took an older configuration")
 	}
 }
@@ -268,32 +268,32 @@
 	l.SetPlan(Plan{Body: []byte("{}"), Sequence: 3}, []Move{{Service: "desk", Caller: "east", Place: "w1", Delta: 100}},
 		time.Minute, time.Hour, start.Add(-time.Minute))
 	value := l.Propose(start)
-	l.Written()
+	l.ConfirmWrite()
 	issued(t, l, a, start)
 
-	next, err := Load(value, DefaultParams(), 2, LimitsOf(twoRegions(100)), start)
+	next, err := Load(value, DefaultParams(), 2, NewLimits(twoRegions(100)), start)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.Rewrite(start)
-	next.Written()
-	next.Hear(b, start)
+	next.ConfirmWrite()
+	next.RecordContact(b, start)
 	want(next, a, 50, 0)
 	want(next, b, 0, 50)
 	commit(next, start)
 	if got, _ := issued(t, next, b, start); got != (Amounts{}) {
 		t.Fatalf("gave %v at once after the takeover", got)
 	}
-	ends := start.Add(next.params.Wait(next.params.SurplusTTL))
+	ends := start.Add(next.params.WithMargin(next.params.SurplusTTL))
 	commit(next, ends)
-	if got, _ := issued(t, next, b, ends); got.Surplus != AmountOf(50) {
+	if got, _ := issued(t, next, b, ends); got.Surplus != AmountFromRPS(50) {
 		t.Fatalf("gave %v after the last surplus ended", got)
 	}
 	moves := next.Moves()
 	if len(moves) != 1 || moves[0].Delta != 100 || moves[0].At.Before(start.Add(-time.Minute)) {
 		t.Fatalf("moves after the takeover: %+v", moves)
 	}
-	if _, err := Load(value, DefaultParams(), 1, LimitsOf(twoRegions(100)), start); err == nil {
+	if _, err := Load(value, DefaultParams(), 1, NewLimits(twoRegions(100)), start); err == nil {
 		t.Fatal("took over from an epoch that is not older")
 	}
 }
@@ -316,14 +316,14 @@
 // so it gets only what ends by itself.
 func TestUnlistedNodeGetsNoFloor(t *testing.T) {
 	a := node("a")
-	a.Listed = 0
+	a.ListSequence = 0
 	l := begun(t, a)
 	want(l, a, 50, 50)
 	commit(l, start)
-	if got, _ := issued(t, l, a, start); got != (Amounts{Surplus: AmountOf(50)}) {
+	if got, _ := issued(t, l, a, start); got != (Amounts{Surplus: AmountFromRPS(50)}) {
 		t.Fatalf("gave %v", got)
 	}
-	l.Observe([]Listed{{VM: "a", Address: "a:1"}}, 1, start)
+	l.ObserveVMs([]ListedVM{{VM: "a", Address: "a:1"}}, 1, start)
 	commit(l, start)
 	wantFloor(t, l, a, start, 50, "once it was listed")
 }
--- a/control/ledger/limits.go
+++ b/control/ledger/limits.go
@@ -25,8 +25,8 @@
 	Capacity, LinkIn grant.Amount
 }
 
-// LimitsOf reads the capacities of an account.
-func LimitsOf(account *model.Account) *Limits {
+// NewLimits reads the capacities of an account.
+func NewLimits(account *model.Account) *Limits {
 	l := &Limits{
 		Revision: account.Revision,
 		capacity: make(map[Key]grant.Amount),
@@ -34,7 +34,7 @@
 		regions:  make(map[model.RegionName]RegionLimit),
 	}
 	for _, r := range account.Regions {
-		l.regions[r.Name] = RegionLimit{Capacity: AmountOf(r.CapacityRPS), LinkIn: AmountOf(r.LinkInRPS)}
+		l.regions[r.Name] = RegionLimit{Capacity: AmountFromRPS(r.CapacityRPS), LinkIn: AmountFromRPS(r.LinkInRPS)}
 	}
 	for _, p := range account.Places {
 		l.places[p.Name] = p.Region
@@ -52,7 +52,7 @@
 		if _, seen := l.capacity[key]; seen {
 			continue
 		}
-		l.capacity[key] = AmountOf(c.RPS)
+		l.capacity[key] = AmountFromRPS(c.RPS)
 		l.keys = append(l.keys, key)
 	}
 }
@@ -69,9 +69,9 @@
 // Region returns the limits of a region, 0 for one that is not configured.
 func (l *Limits) Region(name model.RegionName) RegionLimit { return l.regions[name] }
 
-// AmountOf converts requests per second, rounding down; what is not a
+// AmountFromRPS converts requests per second, rounding down; what is not a
 // positive number is 0.
-func AmountOf(rps float64) grant.Amount {
+func AmountFromRPS(rps float64) grant.Amount {
 	if !(rps > 0) {
 		return 0
 	}
@@ -88,16 +88,16 @@
 	return a.Place < b.Place
 }
 
-// Use sums amounts against limits.
-type Use struct {
+// Usage sums amounts against limits.
+type Usage struct {
 	Keys    map[Key]grant.Amount
 	Regions map[model.RegionName]grant.Amount
 	Links   map[model.RegionName]grant.Amount
 }
 
-// NewUse returns an empty sum.
-func NewUse() *Use {
-	return &Use{
+// NewUsage returns an empty sum.
+func NewUsage() *Usage {
+	return &Usage{
 		Keys:    make(map[Key]grant.Amount),
 		Regions: make(map[model.RegionName]grant.Amount),
 		Links:   make(map[model.RegionName]grant.Amount),
@@ -105,7 +105,7 @@
 }
 
 // Add counts an amount of a node in region from for a key.
-func (u *Use) Add(l *Limits, from model.RegionName, key Key, a grant.Amount) {
+func (u *Usage) Add(l *Limits, from model.RegionName, key Key, a grant.Amount) {
 	to := l.RegionOf(key.Place)
 	u.Keys[key] += a
 	u.Regions[to] += a
@@ -115,7 +115,7 @@
 }
 
 // Check returns an error that names the first limit that is passed.
-func (u *Use) Check(l *Limits) error {
+func (u *Usage) Check(l *Limits) error {
 	for key, a := range u.Keys {
 		if a > l.Capacity(key) {
 			return errors.Errorf("ledger: %s in %s: %d out of %d", key.Service, key.Place, a, l.Capacity(key))
--- a/control/ledger/moves.go
+++ b/control/ledger/moves.go
@@ -34,12 +34,12 @@
 func (l *Ledger) Plan() Plan { return l.plan }
 
 // SetPlan puts a plan and the moves it makes into the next write. The plan may
-// be given out when Unsaved is false. Moves are kept for the memory; a window
+// be given out when HasUnsavedPlan is false. Moves are kept for the memory; a window
 // is that of the account's move cap.
 func (l *Ledger) SetPlan(plan Plan, moves []Move, window, memory time.Duration, now time.Time) {
 	l.plan = plan
 	l.newPlan = true
-	l.forgetMoves(now.Add(-l.params.Wait(memory)))
+	l.forgetMoves(now.Add(-l.params.WithMargin(memory)))
 	for _, m := range moves {
 		m.At = now
 		m.first = now
@@ -78,22 +78,22 @@
 		m.Cause == n.Cause && (m.Delta < 0) == (n.Delta < 0)
 }
 
-// Published notes that the plan has been given out by now. Its moves count
+// MarkPublished notes that the plan has been given out by now. Its moves count
 // from here, however long the write and the way to the nodes took: counted
 // from the decision they would leave the window early, and the next moves
 // would meet them in it.
-func (l *Ledger) Published(now time.Time) {
+func (l *Ledger) MarkPublished(now time.Time) {
 	for i := range l.moves {
 		m := &l.moves[i]
-		if m.unpublished && !l.params.Faults.MovesCountFromDecision {
+		if m.unpublished && !l.params.Faults.AgeMovesFromDecision {
 			m.At = now
 		}
 		m.unpublished = false
 	}
 }
 
-// Unsaved reports whether a plan is not in the store yet.
-func (l *Ledger) Unsaved() bool { return l.newPlan }
+// HasUnsavedPlan reports whether a plan is not in the store yet.
+func (l *Ledger) HasUnsavedPlan() bool { return l.newPlan }
 
 func (l *Ledger) encodeMoves(now time.Time) []*peerpb.LedgerMove {
 	moves := make([]*peerpb.LedgerMove, 0, len(l.moves))
@@ -124,7 +124,7 @@
 // rates. A plan that the last decider wrote and did not give out is given out
 // by this one, and its moves count from then.
 func (l *Ledger) loadMoves(stored []*peerpb.LedgerMove, now time.Time) {
-	if l.params.Faults.ForgetMoves {
+	if l.params.Faults.DropMovesOnTakeover {
 		return
 	}
 	for _, m := range stored {
@@ -132,7 +132,7 @@
 		l.moves = append(l.moves, Move{
 			At:          now.Add(-age),
 			first:       now.Add(-age),
-			unpublished: m.AgeMs == 0 && !l.params.Faults.MovesCountFromDecision,
+			unpublished: m.AgeMs == 0 && !l.params.Faults.AgeMovesFromDecision,
 			Service:     model.ServiceName(m.Service),
 			Caller:      model.RegionName(m.Caller),
 			Place:       model.PlaceName(m.Place),
--- a/control/ledger/node.go
+++ b/control/ledger/node.go
@@ -14,8 +14,8 @@
 	// Address is where the node takes messages from other nodes. Two lives
 	// with one VM identifier are on the same VM only if their addresses agree.
 	Address string
-	// Listed is the sequence of a VM list that showed the node, 0 for none.
-	Listed uint64
+	// ListSequence is the sequence of a VM list that showed the node, 0 for none.
+	ListSequence uint64
 }
 
 // holding is what one node may have in force.
--- a/control/ledger/params.go
+++ b/control/ledger/params.go
@@ -22,36 +22,36 @@
 	// ClockMargin is the part by which one side waits longer than the other.
 	// Two clocks may differ in rate by at most this much.
 	ClockMargin float64
-	// LowerEvery is how often lower amounts alone cause a write. Until then
+	// ReductionInterval is how often lower amounts alone cause a write. Until then
 	// they are only known to the decider in office.
-	LowerEvery time.Duration
+	ReductionInterval time.Duration
 	// Faults plants errors for the model check.
 	Faults fault.Set
 }
 
 // The times in use unless the settings of a node say otherwise.
 const (
-	DefaultSurplusTTL  = 15 * time.Second
-	DefaultRemovalTime = 30 * time.Second
-	DefaultLoanTTL     = 10 * time.Second
-	DefaultClockMargin = 0.05
-	DefaultLowerEvery  = 10 * time.Second
+	DefaultSurplusTTL        = 15 * time.Second
+	DefaultRemovalTime       = 30 * time.Second
+	DefaultLoanTTL           = 10 * time.Second
+	DefaultClockMargin       = 0.05
+	DefaultReductionInterval = 10 * time.Second
 )
 
 // DefaultParams returns the times in use.
 func DefaultParams() Params {
 	return Params{
-		SurplusTTL:  DefaultSurplusTTL,
-		RemovalTime: DefaultRemovalTime,
-		LoanTTL:     DefaultLoanTTL,
-		ClockMargin: DefaultClockMargin,
-		LowerEvery:  DefaultLowerEvery,
+		SurplusTTL:        DefaultSurplusTTL,
+		RemovalTime:       DefaultRemovalTime,
+		LoanTTL:           DefaultLoanTTL,
+		ClockMargin:       DefaultClockMargin,
+		ReductionInterval: DefaultReductionInterval,
 	}
 }
 
-// Wait returns how long this side waits until the other side, which counts d
+// WithMargin returns how long this side waits until the other side, which counts d
 // on its own clock, has certainly counted to the end.
-func (p Params) Wait(d time.Duration) time.Duration {
+func (p Params) WithMargin(d time.Duration) time.Duration {
 	if p.Faults.NoClockMargin {
 		return d
 	}
@@ -62,7 +62,7 @@
 	if p.Faults.SurplusEndsEarly {
 		return p.SurplusTTL / 2
 	}
-	return p.Wait(p.SurplusTTL)
+	return p.WithMargin(p.SurplusTTL)
 }
 
 // Check returns an error for times that would break the protocol.
@@ -72,7 +72,7 @@
 		return errors.New("ledger: a time is not positive")
 	case p.ClockMargin < 0 || p.ClockMargin >= 1:
 		return errors.New("ledger: the clock margin is not from 0 to 1")
-	case p.Wait(p.LoanTTL) >= p.RemovalTime:
+	case p.WithMargin(p.LoanTTL) >= p.RemovalTime:
 		return errors.New("ledger: a loan lasts as long as the removal time")
 	}
 	return nil
--- a/control/ledger/propose.go
+++ b/control/ledger/propose.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	if l.lowerDue.IsZero() {
-		l.lowerDue = now.Add(l.params.LowerEvery)
+		l.lowerDue = now.Add(l.params.ReductionInterval)
 	}
 	return !now.Before(l.lowerDue)
 }
@@ -96,8 +96,8 @@
 	return l.pending.value
 }
 
-// Written settles the pending write as taken effect.
-func (l *Ledger) Written() {
+// ConfirmWrite settles the pending write as taken effect.
+func (l *Ledger) ConfirmWrite() {
 	p := l.pending
 	if p == nil {
 		return
@@ -119,9 +119,9 @@
 	}
 }
 
-// NotWritten settles the pending write as one that did not happen and will
+// DiscardWrite settles the pending write as one that did not happen and will
 // not. For a write with an unknown outcome that is wrong: it must be repeated.
-func (l *Ledger) NotWritten() {
+func (l *Ledger) DiscardWrite() {
 	l.pending = nil
 	for _, h := range l.order {
 		h.proposed = false
--- a/control/ledger/record.go
+++ b/control/ledger/record.go
@@ -20,9 +20,9 @@
 	Epoch, Write uint64
 }
 
-// StampOf reads the stamp of a stored ledger, by which the writer of a write
+// DecodeStamp reads the stamp of a stored ledger, by which the writer of a write
 // with a lost answer finds out whether it took effect.
-func StampOf(value []byte) (Stamp, error) {
+func DecodeStamp(value []byte) (Stamp, error) {
 	record, err := parse(value)
 	if err != nil {
 		return Stamp{}, err
@@ -81,7 +81,7 @@
 		Incarnation: node.ID.Incarnation,
 		Address:     node.Address,
 		Region:      region,
-		Listed:      node.Listed,
+		Listed:      node.ListSequence,
 	}
 	var floors, surpluses grant.Amount
 	for _, a := range amounts {
@@ -135,10 +135,10 @@
 
 func (l *Ledger) loadNode(n *peerpb.LedgerNode, region model.RegionName, now time.Time) {
 	h := l.add(Node{
-		ID:      grant.NodeID{VM: n.Vm, Incarnation: n.Incarnation},
-		Region:  region,
-		Address: n.Address,
-		Listed:  n.Listed,
+		ID:           grant.NodeID{VM: n.Vm, Incarnation: n.Incarnation},
+		Region:       region,
+		Address:      n.Address,
+		ListSequence: n.Listed,
 	})
 	for k := range h.reserved {
 		if k < len(n.Floors) {
@@ -152,7 +152,7 @@
 	copy(h.allowed, h.reserved)
 	copy(h.wanted, h.reserved)
 	h.olderUntil = now.Add(l.params.surplusWait())
-	if l.params.Faults.ForgetSurplus {
+	if l.params.Faults.DropSurplusOnTakeover {
 		h.olderUntil = now
 	}
 	// The node may have been heard by the last decider until just now.
--- a/control/ledger/remove.go
+++ b/control/ledger/remove.go
@@ -6,12 +6,12 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// Listed is one entry VM as the VM list shows it.
-type Listed struct {
+// ListedVM is one entry VM as the VM list shows it.
+type ListedVM struct {
 	VM, Address string
 }
 
-// Observe takes in a reading of the VM list that was made at readAt. Sequence
+// ObserveVMs takes in a reading of the VM list that was made at readAt. Sequence
 // must be above 0. Only a list at least as new as one that showed a node can
 // tell that it is gone: a decider whose list lags behind its predecessor's would
 // take a new VM for an ended one.
@@ -19,18 +19,18 @@
 // The time of the reading counts, not that of the call: while the list service
 // is out the same reading is offered again and again, and the VM may have
 // returned unseen.
-func (l *Ledger) Observe(list []Listed, sequence uint64, readAt time.Time) {
-	shown := make(map[Listed]bool, len(list))
+func (l *Ledger) ObserveVMs(list []ListedVM, sequence uint64, readAt time.Time) {
+	shown := make(map[ListedVM]bool, len(list))
 	for _, v := range list {
 		shown[v] = true
 	}
 	for _, h := range l.order {
-		if shown[Listed{VM: h.node.ID.VM, Address: h.node.Address}] {
-			h.node.Listed = max(h.node.Listed, sequence)
+		if shown[ListedVM{VM: h.node.ID.VM, Address: h.node.Address}] {
+			h.node.ListSequence = max(h.node.ListSequence, sequence)
 			h.unlisted = time.Time{}
 			continue
 		}
-		older := sequence < h.node.Listed && !l.params.Faults.AnyListProves
+		older := sequence < h.node.ListSequence && !l.params.Faults.TrustOldVMList
 		if older {
 			continue
 		}
@@ -59,10 +59,10 @@
 // ended reports whether a node has certainly ended or holds nothing. Silence
 // alone proves nothing: a node that is cut off goes on with its floors.
 func (l *Ledger) ended(h *holding, now time.Time) bool {
-	if l.params.Faults.FreeSilentFloors {
+	if l.params.Faults.FreeUnreachableFloors {
 		return !now.Before(h.latestUntil) && !now.Before(h.olderUntil)
 	}
-	wait := l.params.Wait(l.params.RemovalTime)
+	wait := l.params.WithMargin(l.params.RemovalTime)
 	if now.Sub(h.heard) < wait {
 		return false
 	}
--- a/control/ledger/room.go
+++ b/control/ledger/room.go
@@ -96,7 +96,7 @@
 	for k := range h.next {
 		held := h.inForce(k, now)
 		next := held
-		if h.node.Listed != 0 {
+		if h.node.ListSequence != 0 {
 			next.Floor += room.raise(held.Floor, h.wanted[k].Floor, k, from)
 		}
 		next.Surplus += room.raise(held.Surplus, h.wanted[k].Surplus, k, from)
--- a/control/members.go
+++ b/control/members.go
@@ -13,7 +13,7 @@
 
 // listed returns the entry VMs as the ledger reads them. Leaving VMs count:
 // they hold grants until they hand them back.
-func (s *System) listed() (vms []ledger.Listed, sequence uint64, age time.Duration, ok bool) {
+func (s *System) listed() (vms []ledger.ListedVM, sequence uint64, age time.Duration, ok bool) {
 	list, age, ok := s.options.Members()
 	if !ok {
 		return nil, 0, 0, false
@@ -21,7 +21,7 @@
 	for i := range list.VMs {
 		vm := &list.VMs[i]
 		if vm.Role == membership.RoleEntry {
-			vms = append(vms, ledger.Listed{VM: vm.ID, Address: vm.Peer.String()})
+			vms = append(vms, ledger.ListedVM{VM: vm.ID, Address: vm.Peer.String()})
 		}
 	}
 	return vms, max(list.Sequence, 1), age, true
--- a/control/modelcheck/invariant_test.go
+++ b/control/modelcheck/invariant_test.go
@@ -15,7 +15,7 @@
 // permit now, each by its own clock. A paused one counts: it may go on at any
 // moment.
 func (w *world) check() {
-	use := ledger.NewUse()
+	use := ledger.NewUsage()
 	for _, p := range w.processes {
 		if p.ended {
 			continue
@@ -53,8 +53,8 @@
 	return record
 }
 
-func useOf(record *peerpb.LedgerRecord, limits *ledger.Limits) *ledger.Use {
-	use := ledger.NewUse()
+func useOf(record *peerpb.LedgerRecord, limits *ledger.Limits) *ledger.Usage {
+	use := ledger.NewUsage()
 	for _, n := range record.Nodes {
 		for k, key := range record.Keys {
 			name := ledger.Key{Service: model.ServiceName(key.Service), Place: model.PlaceName(key.Place)}
@@ -65,14 +65,14 @@
 			if k < len(n.Surpluses) {
 				sum += n.Surpluses[k]
 			}
-			use.Add(limits, model.RegionName(record.Regions[n.Region]), name, ledger.AmountOf(float64(sum)/1000))
+			use.Add(limits, model.RegionName(record.Regions[n.Region]), name, ledger.AmountFromRPS(float64(sum)/1000))
 		}
 	}
 	return use
 }
 
 // within names what passes the sums of the stored ledger, "" for nothing.
-func within(use, counted *ledger.Use) string {
+func within(use, counted *ledger.Usage) string {
 	for key, a := range use.Keys {
 		if a > counted.Keys[key]+slack {
 			return string(key.Place)
@@ -100,7 +100,7 @@
 	next := recordOf(after)
 	w.counted = useOf(next, w.limits())
 	w.terms = max(w.terms, next.Epoch)
-	limits := ledger.LimitsOf(w.accounts[min(int(next.ConfigRevision), len(w.accounts))-1])
+	limits := ledger.NewLimits(w.accounts[min(int(next.ConfigRevision), len(w.accounts))-1])
 	use := useOf(next, limits)
 	if len(before) == 0 {
 		return
--- a/control/modelcheck/wanderer_test.go
+++ b/control/modelcheck/wanderer_test.go
@@ -37,7 +37,7 @@
 // budget is what the cap leaves of the window, its length stretched by the
 // margin for clock rates.
 func budget(s decider.PlannerInput, f *plan.Flow) uint32 {
-	window := ledger.DefaultParams().Wait(s.Account.Moves.Window)
+	window := ledger.DefaultParams().WithMargin(s.Account.Moves.Window)
 	left := int64(s.Account.Moves.Share * plan.Whole)
 	for _, m := range s.Moves {
 		if m.Caller == f.Caller && m.Delta > 0 && s.Now.Sub(m.At) <= window {
--- a/control/modelcheck/world_test.go
+++ b/control/modelcheck/world_test.go
@@ -46,7 +46,7 @@
 
 // shown is one state of the VM list.
 type shown struct {
-	vms      []ledger.Listed
+	vms      []ledger.ListedVM
 	sequence uint64
 	at       time.Time
 }
@@ -82,7 +82,7 @@
 	slowUntil time.Time
 	largest   *ledger.Limits
 	// counted sums the stored ledger.
-	counted *ledger.Use
+	counted *ledger.Usage
 	peak    grant.Amount
 	raises  int
 	terms   uint64
@@ -95,7 +95,7 @@
 	// Everything is given out, and moves often, so that anything counted
 	// twice shows.
 	split.Unassigned = 0
-	split.Enough = 0.75
+	split.RaiseThreshold = 0.75
 	w := &world{
 		now:    time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
 		random: rand.New(rand.NewPCG(seed, 1)),
@@ -111,7 +111,7 @@
 	}
 	w.falseDrops = w.chance(50)
 	w.accounts = []*model.Account{testAccount(1, capacityRPS)}
-	w.largest = ledger.LimitsOf(w.accounts[0])
+	w.largest = ledger.NewLimits(w.accounts[0])
 	w.keys = w.largest.Keys()
 	for i := range nodeCount {
 		w.start(fmt.Sprintf("vm%d", i), fmt.Sprintf("10.0.0.%d:1", i), regionNames[i%len(regionNames)])
@@ -177,7 +177,7 @@
 	s := shown{sequence: uint64(len(w.lists) + 1), at: w.now}
 	for _, p := range w.processes {
 		if !p.ended && !w.hidden[p.id.VM] {
-			s.vms = append(s.vms, ledger.Listed{VM: p.id.VM, Address: p.ref.PeerAddress})
+			s.vms = append(s.vms, ledger.ListedVM{VM: p.id.VM, Address: p.ref.PeerAddress})
 		}
 	}
 	w.lists = append(w.lists, s)
--- a/control/options.go
+++ b/control/options.go
@@ -46,13 +46,13 @@
 	// DeciderOf returns the decider last published for an account.
 	DeciderOf func(model.AccountName) (ref *peerpb.NodeRef, epoch uint64, ok bool)
 	// Leaving reports whether the node is in a planned stop: it takes no office
-	// any more. Refusing reports whether it takes no requests any more. Nil means
+	// any more. AdmissionClosed reports whether it takes no requests any more. Nil means
 	// never.
 	//
 	// Guard against a node that gives its grants away while callers still use
 	// it: it shows as no-capacity during a planned stop. The guard holds because
 	// the decider is told that the node leaves only once it refuses.
-	Leaving, Refusing func() bool
+	Leaving, AdmissionClosed func() bool
 	// Planner makes the plans; nil means the nearest place with capacity.
 	Planner decider.Planner
 	// Ledger and Allocate are the times and weights; zero means the defaults.
@@ -60,10 +60,10 @@
 	Allocate allocate.Params
 	// LeaseTTL is the time to live of a decider's lease; 0 means the default.
 	LeaseTTL time.Duration
-	// RelayFromNodes is from how many live entry VMs on reports go by way of a
+	// RelayMinFleet is from how many live entry VMs on reports go by way of a
 	// relay of the failure domain; 0 means never.
-	RelayFromNodes int
-	Logger         logrus.FieldLogger
+	RelayMinFleet int
+	Logger        logrus.FieldLogger
 	// Clock is a monotonic clock; nil means time.Now.
 	Clock func() time.Time
 }
@@ -90,8 +90,8 @@
 	if o.Leaving == nil {
 		o.Leaving = func() bool { return false }
 	}
-	if o.Refusing == nil {
-		o.Refusing = func() bool { return false }
+	if o.AdmissionClosed == nil {
+		o.AdmissionClosed = func() bool { return false }
 	}
 	return o
 }
--- a/control/raise_test.go
+++ b/control/raise_test.go
@@ -30,7 +30,7 @@
 		since := time.Since(began)
 		if m.permitted() < rps(demand) {
 			// Requests wait at the node.
-			m.system.Short("daehan")
+			m.system.SignalShortage("daehan")
 		}
 		note := func(at *time.Duration, seen bool) {
 			if *at == 0 && seen {
@@ -118,7 +118,7 @@
 			before := f.usage()
 			for range 20 {
 				for _, m := range f.nodes {
-					m.system.Short("daehan")
+					m.system.SignalShortage("daehan")
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
--- a/control/system.go
+++ b/control/system.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// Short tells that requests of an account wait for more than the node has. It
+// SignalShortage tells that requests of an account wait for more than the node has. It
 // does not block.
-func (s *System) Short(name model.AccountName) {
+func (s *System) SignalShortage(name model.AccountName) {
 	a := s.account(name)
 	if a == nil || !a.holder.SignalShortage() {
 		return
@@ -153,7 +153,7 @@
 }
 
 func (s *System) report(ctx context.Context, a *account, report observe.Report) {
-	s.running.Go(func() { a.holder.Report(ctx, report, s.options.Refusing()) })
+	s.running.Go(func() { a.holder.Report(ctx, report, s.options.AdmissionClosed()) })
 }
 
 // relieve starts a decision out of turn, unless one was made just now. While a
--- a/node/node.go
+++ b/node/node.go
@@ -176,7 +176,7 @@
 		MaxInFlight:      int64(s.Limits.QueuedRequests),
 		Nodes:            n.liveNodes,
 		Clock:            n.options.Clock,
-		Short:            func(account model.AccountName) { n.control.Short(account) },
+		Short:            func(account model.AccountName) { n.control.SignalShortage(account) },
 		Dial:             n.options.Dial,
 	})
 	if err != nil {
@@ -211,23 +211,23 @@
 
 func (n *Node) makeControl() error {
 	system, err := control.New(control.Options{
-		Ref:         n.ref,
-		Node:        n.id,
-		Store:       n.store,
-		Accounts:    n.accounts.all,
-		Members:     n.membersWithAge,
-		Dial:        n.peers.Dial,
-		Reports:     n.proxy.Reports,
-		ApplyGrants: n.proxy.SetGrants,
-		Publish:     n.publish,
-		DeciderOf:   n.deciderOf,
-		Leaving:     n.leaving.Load,
-		Refusing:    n.refusing.Load,
-		Planner:     n.planner,
-		Logger:      n.log,
-		Clock:       n.options.Clock,
+		Ref:             n.ref,
+		Node:            n.id,
+		Store:           n.store,
+		Accounts:        n.accounts.all,
+		Members:         n.membersWithAge,
+		Dial:            n.peers.Dial,
+		Reports:         n.proxy.Reports,
+		ApplyGrants:     n.proxy.SetGrants,
+		Publish:         n.publish,
+		DeciderOf:       n.deciderOf,
+		Leaving:         n.leaving.Load,
+		AdmissionClosed: n.refusing.Load,
+		Planner:         n.planner,
+		Logger:          n.log,
+		Clock:           n.options.Clock,
 
-		RelayFromNodes: n.options.Settings.Limits.RelayFromNodes,
+		RelayMinFleet: n.options.Settings.Limits.RelayFromNodes,
 	})
 	if err != nil {
 		return err
