--- a/control/ledger/bench_test.go
+++ b/control/ledger/bench_test.go
@@ -39,8 +39,8 @@
 func regionName(r int) model.RegionName { return model.RegionName(fmt.Sprintf("region-%d", r)) }
 func placeName(p int) model.PlaceName   { return model.PlaceName(fmt.Sprintf("place-%02d", p)) }
 
-// full returns a ledger in which each node holds a part of each key.
-func full(nodes int) (*Ledger, []Node) {
+// newFullLedger returns a ledger in which each node holds a part of each key.
+func newFullLedger(nodes int) (*Ledger, []Node) {
 	l := New(DefaultParams(), 1, NewLimits(benchAccount()))
 	l.Rewrite(start)
 	l.ConfirmWrite()
@@ -72,7 +72,7 @@
 func BenchmarkProposeSteady(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			l, _ := full(nodes)
+			l, _ := newFullLedger(nodes)
 			b.ReportAllocs()
 			for b.Loop() {
 				if l.Propose(start) != nil {
@@ -88,12 +88,12 @@
 func BenchmarkProposeFailure(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			l, all := full(nodes)
+			l, all := newFullLedger(nodes)
 			b.ReportAllocs()
 			extra := grant.Amount(0)
 			for b.Loop() {
 				extra = 1 - extra
-				changeAll(l, all, extra)
+				changeAllGrants(l, all, extra)
 				if l.Propose(start) != nil {
 					l.ConfirmWrite()
 				}
@@ -103,7 +103,7 @@
 	}
 }
 
-func changeAll(l *Ledger, all []Node, extra grant.Amount) {
+func changeAllGrants(l *Ledger, all []Node, extra grant.Amount) {
 	w := make([]Amounts, len(l.Keys()))
 	for k := range w {
 		w[k] = Amounts{Floor: 1000, Surplus: 1000 + extra}
@@ -117,7 +117,7 @@
 
 // BenchmarkIssue is the ledger's part in one answer to a report.
 func BenchmarkIssue(b *testing.B) {
-	l, all := full(550)
+	l, all := newFullLedger(550)
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Issue(all[0].ID, start)
@@ -129,7 +129,7 @@
 func TestRecordFitsTheStore(t *testing.T) {
 	const limit = 1 << 20
 	for _, nodes := range benchNodes {
-		l, _ := full(nodes)
+		l, _ := newFullLedger(nodes)
 		perEntry := float64(l.RecordSize()) / float64(nodes*len(l.Keys()))
 		t.Logf("%d nodes, %d keys: %d bytes, %.1f for each node and key", nodes, len(l.Keys()), l.RecordSize(), perEntry)
 		if l.RecordSize() > limit/4 {
--- a/control/ledger/issue.go
+++ b/control/ledger/issue.go
@@ -10,12 +10,12 @@
 func (l *Ledger) RecordContact(node Node, now time.Time) {
 	h := l.nodes[node.ID]
 	if h == nil {
-		h = l.add(node)
+		h = l.addNode(node)
 	}
-	if h.first.IsZero() {
-		h.first = now
+	if h.firstContact.IsZero() {
+		h.firstContact = now
 	}
-	h.heard = now
+	h.lastContact = now
 }
 
 // SetLeaving notes that a node is in a planned stop.
@@ -33,7 +33,7 @@
 	if h == nil || epoch != l.epoch || sequence > l.sequence {
 		return
 	}
-	if h.latestFrom == 0 || sequence < h.latestFrom {
+	if h.latestFirstSequence == 0 || sequence < h.latestFirstSequence {
 		return
 	}
 	clear(h.older)
@@ -47,12 +47,12 @@
 	if h == nil {
 		return
 	}
-	h.clear()
+	h.clearInForce()
 	clear(h.wanted)
 	clear(h.allowed)
 	h.leaving = true
 	h.stopped = true
-	l.released = true
+	l.releaseUnsaved = true
 }
 
 // SetWanted asks for amounts in the order of Keys; they are given by Propose.
@@ -83,12 +83,12 @@
 		return IssuedSet{}, false
 	}
 	l.sequence++
-	if !h.same() || h.latestFrom == 0 {
-		h.retire(now)
-		h.latest = h.content()
-		h.latestFrom = l.sequence
+	if !h.upToDate() || h.latestFirstSequence == 0 {
+		h.supersedeLatest(now)
+		h.latest = h.nextContent()
+		h.latestFirstSequence = l.sequence
 	}
-	h.latestUntil = now.Add(l.params.surplusWait())
+	h.latestUntil = now.Add(l.params.surplusTTLWithMargin())
 	if l.params.Faults.FreeBeforeAcknowledged {
 		clear(h.older)
 	}
@@ -97,11 +97,11 @@
 		Sequence:      l.sequence,
 		TTL:           l.params.SurplusTTL,
 		Amounts:       h.latest,
-		FirstSequence: h.latestFrom,
+		FirstSequence: h.latestFirstSequence,
 	}, true
 }
 
-func (h *holding) same() bool {
+func (h *nodeGrants) upToDate() bool {
 	for k := range h.latest {
 		if h.wanted[k].min(h.allowed[k]) != h.latest[k] {
 			return false
@@ -115,15 +115,15 @@
 func (l *Ledger) OutdatedNodes() []Node {
 	var untold []Node
 	for _, h := range l.order {
-		if h.latestFrom != 0 && !h.same() {
+		if h.latestFirstSequence != 0 && !h.upToDate() {
 			untold = append(untold, h.node)
 		}
 	}
 	return untold
 }
 
-// content is a new slice, as the last one may still be read by a sender.
-func (h *holding) content() []Amounts {
+// nextContent is a new slice, as the last one may still be read by a sender.
+func (h *nodeGrants) nextContent() []Amounts {
 	c := make([]Amounts, len(h.latest))
 	for k := range c {
 		c[k] = h.wanted[k].min(h.allowed[k])
--- a/control/ledger/ledger.go
+++ b/control/ledger/ledger.go
@@ -24,29 +24,29 @@
 // Ledger is the account of all grants of one client account. It is not safe
 // for use by several goroutines.
 type Ledger struct {
-	params   Params
-	epoch    uint64
-	write    uint64
-	sequence uint64
-	revision uint64
-	limits   *Limits
-	keys     []Key
-	index    map[Key]int
-	nodes    map[grant.NodeID]*holding
-	order    []*holding
-	moves    []Move
-	plan     Plan
-	pending  *proposal
+	params      Params
+	epoch       uint64
+	writeNumber uint64
+	sequence    uint64
+	revision    uint64
+	limits      *Limits
+	keys        []Key
+	index       map[Key]int
+	nodes       map[grant.NodeID]*nodeGrants
+	order       []*nodeGrants
+	moves       []Move
+	plan        Plan
+	pending     *proposal
 	// rewritten tells that the store holds this decider's epoch.
 	rewritten bool
-	// newPlan tells that the plan is not in the store yet.
-	newPlan bool
-	// released tells that a node has handed back its grants since the last
+	// planUnsaved tells that the plan is not in the store yet.
+	planUnsaved bool
+	// releaseUnsaved tells that a node has handed back its grants since the last
 	// write: without a write a new decider would wait for the removal time.
-	released bool
-	lowerDue time.Time
-	// bytes is the size of the last write.
-	bytes int
+	releaseUnsaved bool
+	reductionDue   time.Time
+	// recordSize is the size of the last write.
+	recordSize int
 }
 
 // Plan is the last plan as the ledger keeps it.
@@ -61,7 +61,7 @@
 		params: params,
 		epoch:  epoch,
 		index:  make(map[Key]int),
-		nodes:  make(map[grant.NodeID]*holding),
+		nodes:  make(map[grant.NodeID]*nodeGrants),
 	}
 	l.SetLimits(limits)
 	return l
@@ -96,7 +96,7 @@
 }
 
 // RecordSize returns the size of the last write proposed.
-func (l *Ledger) RecordSize() int { return l.bytes }
+func (l *Ledger) RecordSize() int { return l.recordSize }
 
 // SetLimits takes capacities into use. It returns false, and changes nothing,
 // for a configuration older than one the ledger was bounded by: a decider that
@@ -125,8 +125,8 @@
 	}
 }
 
-func (l *Ledger) add(node Node) *holding {
-	h := newHolding(node, len(l.keys))
+func (l *Ledger) addNode(node Node) *nodeGrants {
+	h := newNodeGrants(node, len(l.keys))
 	l.nodes[node.ID] = h
 	at := sort.Search(len(l.order), func(i int) bool { return !nodeLess(l.order[i].node.ID, node.ID) })
 	l.order = append(l.order, nil)
@@ -135,7 +135,7 @@
 	return h
 }
 
-func (l *Ledger) drop(gone map[grant.NodeID]bool) {
+func (l *Ledger) removeNodes(gone map[grant.NodeID]bool) {
 	if len(gone) == 0 {
 		return
 	}
@@ -160,20 +160,20 @@
 
 // Outstanding sums the largest amounts that may be in force.
 func (l *Ledger) Outstanding(now time.Time) *Usage {
-	return l.sum(func(h *holding, k int) Amounts { return h.inForce(k, now) })
+	return l.sum(func(h *nodeGrants, k int) Amounts { return h.inForce(k, now) })
 }
 
 // Reserved sums what the store's ledger counts.
 func (l *Ledger) Reserved() *Usage {
-	return l.sum(func(h *holding, k int) Amounts { return h.reserved[k] })
+	return l.sum(func(h *nodeGrants, k int) Amounts { return h.reserved[k] })
 }
 
 // Allowed sums what may be sent.
 func (l *Ledger) Allowed() *Usage {
-	return l.sum(func(h *holding, k int) Amounts { return h.allowed[k] })
+	return l.sum(func(h *nodeGrants, k int) Amounts { return h.allowed[k] })
 }
 
-func (l *Ledger) sum(of func(*holding, int) Amounts) *Usage {
+func (l *Ledger) sum(of func(*nodeGrants, int) Amounts) *Usage {
 	use := NewUsage()
 	for _, h := range l.order {
 		for k, key := range l.keys {
@@ -203,7 +203,7 @@
 		for k := range inForce {
 			inForce[k] = h.inForce(k, now)
 		}
-		states[i] = NodeState{Node: h.node, Wanted: h.wanted, InForce: inForce, LastContact: h.heard, Leaving: h.leaving}
+		states[i] = NodeState{Node: h.node, Wanted: h.wanted, InForce: inForce, LastContact: h.lastContact, Leaving: h.leaving}
 	}
 	return states
 }
--- a/control/ledger/ledger_test.go
+++ b/control/ledger/ledger_test.go
@@ -32,8 +32,8 @@
 	return Node{ID: grant.NodeID{VM: vm, Incarnation: 1}, Region: "east", Address: vm + ":1", ListSequence: 1}
 }
 
-// begun returns a ledger whose first write has been made.
-func begun(t *testing.T, nodes ...Node) *Ledger {
+// newTestLedger returns a ledger whose first write has been made.
+func newTestLedger(t *testing.T, nodes ...Node) *Ledger {
 	t.Helper()
 	l := New(DefaultParams(), 1, NewLimits(twoRegions(100)))
 	l.Rewrite(start)
@@ -44,7 +44,7 @@
 	return l
 }
 
-func want(l *Ledger, n Node, floor, surplus float64) {
+func setWanted(l *Ledger, n Node, floor, surplus float64) {
 	w := make([]Amounts, len(l.Keys()))
 	w[0] = Amounts{Floor: AmountFromRPS(floor), Surplus: AmountFromRPS(surplus)}
 	l.SetWanted(n.ID, w)
@@ -58,7 +58,7 @@
 	return true
 }
 
-func issued(t *testing.T, l *Ledger, n Node, now time.Time) (Amounts, uint64) {
+func issue(t *testing.T, l *Ledger, n Node, now time.Time) (Amounts, uint64) {
 	t.Helper()
 	set, ok := l.Issue(n.ID, now)
 	if !ok {
@@ -67,24 +67,24 @@
 	return set.Amounts[0], set.Sequence
 }
 
-// give commits amounts for a node and sends them.
-func give(t *testing.T, l *Ledger, n Node, floor, surplus float64) {
+// commitAndIssue commits amounts for a node and sends them.
+func commitAndIssue(t *testing.T, l *Ledger, n Node, floor, surplus float64) {
 	t.Helper()
-	want(l, n, floor, surplus)
+	setWanted(l, n, floor, surplus)
 	commit(l, start)
-	issued(t, l, n, start)
+	issue(t, l, n, start)
 }
 
 func wantFloor(t *testing.T, l *Ledger, n Node, now time.Time, rps float64, when string) {
 	t.Helper()
-	if got, _ := issued(t, l, n, now); got.Floor != AmountFromRPS(rps) {
+	if got, _ := issue(t, l, n, now); got.Floor != AmountFromRPS(rps) {
 		t.Fatalf("floor %v %s, want that of %v requests/s", got.Floor, when, rps)
 	}
 }
 
 func wantSurplus(t *testing.T, l *Ledger, n Node, now time.Time, rps float64, when string) {
 	t.Helper()
-	if got, _ := issued(t, l, n, now); got.Surplus != AmountFromRPS(rps) {
+	if got, _ := issue(t, l, n, now); got.Surplus != AmountFromRPS(rps) {
 		t.Fatalf("surplus %v %s, want that of %v requests/s", got.Surplus, when, rps)
 	}
 }
@@ -93,8 +93,8 @@
 // never happened, the next decider would not count it.
 func TestRaiseWaitsForItsWrite(t *testing.T) {
 	a := node("a")
-	l := begun(t, a)
-	want(l, a, 40, 0)
+	l := newTestLedger(t, a)
+	setWanted(l, a, 40, 0)
 	if l.Propose(start) == nil {
 		t.Fatal("a raise needs a write")
 	}
@@ -108,16 +108,16 @@
 // counts only the lower one.
 func TestUnsettledLowerIsNotRaisedAgain(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 40, 0)
-	want(l, a, 10, 0)
-	_, sequence := issued(t, l, a, start)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 40, 0)
+	setWanted(l, a, 10, 0)
+	_, sequence := issue(t, l, a, start)
 	l.Acknowledge(a.ID, 1, sequence)
-	want(l, b, 90, 0)
+	setWanted(l, b, 90, 0)
 	if l.Propose(start) == nil {
 		t.Fatal("a raise needs a write")
 	}
-	want(l, a, 40, 0)
+	setWanted(l, a, 40, 0)
 	wantFloor(t, l, a, start, 10, "while a lower amount was being written")
 }
 
@@ -125,11 +125,11 @@
 // message may be lost and the node go on with the old floor for days.
 func TestLoweredFloorIsCountedUntilAcknowledged(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 100, 0)
-	want(l, a, 20, 0)
-	_, sequence := issued(t, l, a, start)
-	want(l, b, 80, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 100, 0)
+	setWanted(l, a, 20, 0)
+	_, sequence := issue(t, l, a, start)
+	setWanted(l, b, 80, 0)
 	later := start.Add(time.Hour)
 	l.RecordContact(a, later)
 	l.RecordContact(b, later)
@@ -144,10 +144,10 @@
 // its holder, but not earlier.
 func TestSurplusIsFreeAfterItsTimeAndMargin(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 0, 100)
-	want(l, a, 0, 0)
-	want(l, b, 0, 100)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 0, 100)
+	setWanted(l, a, 0, 0)
+	setWanted(l, b, 0, 100)
 	ends := start.Add(l.params.WithMargin(l.params.SurplusTTL))
 	commit(l, ends.Add(-time.Nanosecond))
 	wantSurplus(t, l, b, ends.Add(-time.Nanosecond), 0, "before its time ended")
@@ -160,12 +160,12 @@
 // after the list dropped them, and be free then.
 func TestFloorsOfEndedNodes(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 100, 0)
 	dropped := start.Add(time.Hour)
 	listed := []ListedVM{{VM: "b", Address: "b:1"}}
 	l.ObserveVMs(listed, 2, dropped)
-	want(l, b, 100, 0)
+	setWanted(l, b, 100, 0)
 	free := dropped.Add(l.params.WithMargin(l.params.RemovalTime))
 	l.RecordContact(b, free)
 	l.ObserveVMs(listed, 2, free.Add(-time.Nanosecond))
@@ -182,10 +182,10 @@
 // outage still lacks it.
 func TestListOutageIsNoAbsence(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 100, 0)
 	listed := []ListedVM{{VM: "b", Address: "b:1"}}
-	want(l, b, 100, 0)
+	setWanted(l, b, 100, 0)
 	back := start.Add(time.Hour)
 	for now := start; now.Before(back); now = now.Add(time.Minute) {
 		l.RecordContact(b, now)
@@ -205,16 +205,16 @@
 	a := node("a")
 	second := a
 	second.ID.Incarnation = 2
-	l := begun(t, a)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a)
+	commitAndIssue(t, l, a, 100, 0)
 	restarted := start.Add(time.Second)
 	free := restarted.Add(l.params.WithMargin(l.params.RemovalTime))
 	for now := restarted; now.Before(free); now = now.Add(time.Second) {
 		l.RecordContact(second, now)
 		l.ObserveVMs([]ListedVM{{VM: "a", Address: "a:1"}}, 1, now)
-		want(l, second, 100, 0)
+		setWanted(l, second, 100, 0)
 		commit(l, now)
-		if got, _ := issued(t, l, second, now); got.Floor != 0 {
+		if got, _ := issue(t, l, second, now); got.Floor != 0 {
 			t.Fatalf("gave %v after %s", got, now.Sub(restarted))
 		}
 	}
@@ -227,8 +227,8 @@
 func TestOlderListProvesNothing(t *testing.T) {
 	a := node("a")
 	a.ListSequence = 7
-	l := begun(t, a)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a)
+	commitAndIssue(t, l, a, 100, 0)
 	later := start.Add(time.Hour)
 	l.ObserveVMs(nil, 6, start)
 	l.Propose(later)
@@ -241,16 +241,16 @@
 // acknowledgements bring the sum under it.
 func TestNoRaiseOverALoweredCapacity(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 80, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 80, 0)
 	lowered := twoRegions(50)
 	lowered.Revision = 2
 	l.SetLimits(NewLimits(lowered))
-	want(l, a, 20, 0)
-	want(l, b, 30, 0)
+	setWanted(l, a, 20, 0)
+	setWanted(l, b, 30, 0)
 	commit(l, start)
 	wantFloor(t, l, b, start, 0, "while more than the capacity is out")
-	_, sequence := issued(t, l, a, start)
+	_, sequence := issue(t, l, a, start)
 	l.Acknowledge(a.ID, 1, sequence)
 	commit(l, start)
 	wantFloor(t, l, b, start, 30, "once there was room")
@@ -263,13 +263,13 @@
 // good, surplus for its whole time from the takeover, moves with their age.
 func TestTakeoverKeepsWhatWasGiven(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a)
-	want(l, a, 50, 50)
+	l := newTestLedger(t, a)
+	setWanted(l, a, 50, 50)
 	l.SetPlan(Plan{Body: []byte("{}"), Sequence: 3}, []Move{{Service: "desk", Caller: "east", Place: "w1", Delta: 100}},
 		time.Minute, time.Hour, start.Add(-time.Minute))
 	value := l.Propose(start)
 	l.ConfirmWrite()
-	issued(t, l, a, start)
+	issue(t, l, a, start)
 
 	next, err := Load(value, DefaultParams(), 2, NewLimits(twoRegions(100)), start)
 	if err != nil {
@@ -278,15 +278,15 @@
 	next.Rewrite(start)
 	next.ConfirmWrite()
 	next.RecordContact(b, start)
-	want(next, a, 50, 0)
-	want(next, b, 0, 50)
+	setWanted(next, a, 50, 0)
+	setWanted(next, b, 0, 50)
 	commit(next, start)
-	if got, _ := issued(t, next, b, start); got != (Amounts{}) {
+	if got, _ := issue(t, next, b, start); got != (Amounts{}) {
 		t.Fatalf("gave %v at once after the takeover", got)
 	}
 	ends := start.Add(next.params.WithMargin(next.params.SurplusTTL))
 	commit(next, ends)
-	if got, _ := issued(t, next, b, ends); got.Surplus != AmountFromRPS(50) {
+	if got, _ := issue(t, next, b, ends); got.Surplus != AmountFromRPS(50) {
 		t.Fatalf("gave %v after the last surplus ended", got)
 	}
 	moves := next.Moves()
@@ -302,9 +302,9 @@
 func TestRegionAndLinkBoundTheSum(t *testing.T) {
 	a, far := node("a"), node("far")
 	far.Region = "west"
-	l := begun(t, a, far)
-	want(l, a, 80, 0)
-	want(l, far, 80, 0)
+	l := newTestLedger(t, a, far)
+	setWanted(l, a, 80, 0)
+	setWanted(l, far, 80, 0)
 	commit(l, start)
 	if err := l.Allowed().Check(l.Limits()); err != nil {
 		t.Fatal(err)
@@ -317,10 +317,10 @@
 func TestUnlistedNodeGetsNoFloor(t *testing.T) {
 	a := node("a")
 	a.ListSequence = 0
-	l := begun(t, a)
-	want(l, a, 50, 50)
+	l := newTestLedger(t, a)
+	setWanted(l, a, 50, 50)
 	commit(l, start)
-	if got, _ := issued(t, l, a, start); got != (Amounts{Surplus: AmountFromRPS(50)}) {
+	if got, _ := issue(t, l, a, start); got != (Amounts{Surplus: AmountFromRPS(50)}) {
 		t.Fatalf("gave %v", got)
 	}
 	l.ObserveVMs([]ListedVM{{VM: "a", Address: "a:1"}}, 1, start)
@@ -332,8 +332,8 @@
 // decider would otherwise count it until the removal time.
 func TestStoppedNodeIsFreeAndWritten(t *testing.T) {
 	a := node("a")
-	l := begun(t, a)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a)
+	commitAndIssue(t, l, a, 100, 0)
 	l.Release(a.ID)
 	l.SetLeaving(a.ID, false)
 	if !commit(l, start) {
--- a/control/ledger/moves.go
+++ b/control/ledger/moves.go
@@ -17,15 +17,15 @@
 	Delta int32
 	// Cause is the planner's number for why.
 	Cause uint8
-	// first is when the first of several merged moves was made.
-	first time.Time
+	// firstAt is when the firstAt of several merged moves was made.
+	firstAt time.Time
 	// unpublished tells that the plan may not have been given out yet.
 	unpublished bool
 }
 
-// mergeParts is into how many parts a window is divided: like moves within
+// mergeIntervals is into how many parts a window is divided: like moves within
 // one part are kept as one, which bounds the size of the record.
-const mergeParts = 16
+const mergeIntervals = 16
 
 // Moves returns the moves kept, oldest first.
 func (l *Ledger) Moves() []Move { return append([]Move(nil), l.moves...) }
@@ -38,17 +38,17 @@
 // is that of the account's move cap.
 func (l *Ledger) SetPlan(plan Plan, moves []Move, window, memory time.Duration, now time.Time) {
 	l.plan = plan
-	l.newPlan = true
-	l.forgetMoves(now.Add(-l.params.WithMargin(memory)))
+	l.planUnsaved = true
+	l.dropMovesBefore(now.Add(-l.params.WithMargin(memory)))
 	for _, m := range moves {
 		m.At = now
-		m.first = now
+		m.firstAt = now
 		m.unpublished = true
-		l.addMove(m, window/mergeParts)
+		l.addMove(m, window/mergeIntervals)
 	}
 }
 
-func (l *Ledger) forgetMoves(before time.Time) {
+func (l *Ledger) dropMovesBefore(before time.Time) {
 	kept := l.moves[:0]
 	for _, m := range l.moves {
 		if !m.At.Before(before) {
@@ -63,7 +63,7 @@
 func (l *Ledger) addMove(m Move, within time.Duration) {
 	for i := range l.moves {
 		old := &l.moves[i]
-		if old.like(m) && m.At.Sub(old.first) < within {
+		if old.canMerge(m) && m.At.Sub(old.firstAt) < within {
 			old.Delta += m.Delta
 			old.At = m.At
 			old.unpublished = true
@@ -73,7 +73,7 @@
 	l.moves = append(l.moves, m)
 }
 
-func (m *Move) like(n Move) bool {
+func (m *Move) canMerge(n Move) bool {
 	return m.Service == n.Service && m.Caller == n.Caller && m.Place == n.Place &&
 		m.Cause == n.Cause && (m.Delta < 0) == (n.Delta < 0)
 }
@@ -93,7 +93,7 @@
 }
 
 // HasUnsavedPlan reports whether a plan is not in the store yet.
-func (l *Ledger) HasUnsavedPlan() bool { return l.newPlan }
+func (l *Ledger) HasUnsavedPlan() bool { return l.planUnsaved }
 
 func (l *Ledger) encodeMoves(now time.Time) []*peerpb.LedgerMove {
 	moves := make([]*peerpb.LedgerMove, 0, len(l.moves))
@@ -131,7 +131,7 @@
 		age := time.Duration(float64(m.AgeMs)*(1-l.params.ClockMargin)) * time.Millisecond
 		l.moves = append(l.moves, Move{
 			At:          now.Add(-age),
-			first:       now.Add(-age),
+			firstAt:     now.Add(-age),
 			unpublished: m.AgeMs == 0 && !l.params.Faults.AgeMovesFromDecision,
 			Service:     model.ServiceName(m.Service),
 			Caller:      model.RegionName(m.Caller),
--- a/control/ledger/node.go
+++ b/control/ledger/node.go
@@ -18,12 +18,12 @@
 	ListSequence uint64
 }
 
-// holding is what one node may have in force.
+// nodeGrants is what one node may have in force.
 //
 //	in force <= allowed <= reserved
 //
 // holds for each key at all times, and allowed <= the pending write too.
-type holding struct {
+type nodeGrants struct {
 	node Node
 	// reserved is what the store's ledger counts for the node.
 	reserved []Amounts
@@ -37,25 +37,25 @@
 	wanted []Amounts
 	// latest is the content last sent, first in the set with sequence
 	// latestFrom. Its surplus ends at latestUntil.
-	latest      []Amounts
-	latestFrom  uint64
-	latestUntil time.Time
+	latest              []Amounts
+	latestFirstSequence uint64
+	latestUntil         time.Time
 	// older is the largest of all earlier contents that may still be in
 	// force because nothing later has been acknowledged.
 	older      []Amounts
 	olderUntil time.Time
-	// first and heard are when this decider first and last heard the node.
-	first, heard time.Time
-	// unlisted is since when the VM list does not show the node, unlistedUntil
+	// firstContact and lastContact are when this decider firstContact and last lastContact the node.
+	firstContact, lastContact time.Time
+	// unlistedSince is since when the VM list does not show the node, lastUnlisted
 	// is the last reading that told so.
-	unlisted, unlistedUntil time.Time
+	unlistedSince, lastUnlisted time.Time
 	// leaving tells that the node is in a planned stop, stopped that it has
 	// closed its admission for good.
 	leaving, stopped bool
 }
 
-func newHolding(node Node, keys int) *holding {
-	return &holding{
+func newNodeGrants(node Node, keys int) *nodeGrants {
+	return &nodeGrants{
 		node:     node,
 		reserved: make([]Amounts, keys),
 		allowed:  make([]Amounts, keys),
@@ -66,7 +66,7 @@
 	}
 }
 
-func (h *holding) grow(keys int) {
+func (h *nodeGrants) grow(keys int) {
 	h.reserved = grow(h.reserved, keys)
 	h.allowed = grow(h.allowed, keys)
 	h.next = grow(h.next, keys)
@@ -76,7 +76,7 @@
 }
 
 // inForce returns the largest amounts that may be in force for key k.
-func (h *holding) inForce(k int, now time.Time) Amounts {
+func (h *nodeGrants) inForce(k int, now time.Time) Amounts {
 	latest := h.latest[k]
 	if !now.Before(h.latestUntil) {
 		latest.Surplus = 0
@@ -88,9 +88,9 @@
 	return latest.max(older)
 }
 
-// retire counts the latest content as one that may still be in force under a
+// supersedeLatest counts the latest content as one that may still be in force under a
 // new one.
-func (h *holding) retire(now time.Time) {
+func (h *nodeGrants) supersedeLatest(now time.Time) {
 	for k := range h.older {
 		h.older[k] = h.inForce(k, now)
 	}
@@ -99,8 +99,8 @@
 	}
 }
 
-// clear counts nothing in force any more.
-func (h *holding) clear() {
+// clearInForce counts nothing in force any more.
+func (h *nodeGrants) clearInForce() {
 	clear(h.latest)
 	clear(h.older)
 	h.latestUntil = time.Time{}
--- a/control/ledger/params.go
+++ b/control/ledger/params.go
@@ -58,7 +58,7 @@
 	return d + time.Duration(float64(d)*p.ClockMargin)
 }
 
-func (p Params) surplusWait() time.Duration {
+func (p Params) surplusTTLWithMargin() time.Duration {
 	if p.Faults.SurplusEndsEarly {
 		return p.SurplusTTL / 2
 	}
--- a/control/ledger/propose.go
+++ b/control/ledger/propose.go
@@ -9,10 +9,10 @@
 // proposal is a write of which it is not known yet that it took effect. The
 // amounts it carries are the next of each holding that is proposed.
 type proposal struct {
-	value []byte
-	gone  map[grant.NodeID]bool
-	// newPlan and released tell what the write carries.
-	newPlan, released bool
+	value   []byte
+	removed map[grant.NodeID]bool
+	// hasPlan and hasRelease tell what the write carries.
+	hasPlan, hasRelease bool
 }
 
 // Pending reports whether a write has been proposed and not been settled.
@@ -25,7 +25,7 @@
 	for _, h := range l.order {
 		copy(h.next, h.reserved)
 	}
-	return l.pend(nil, now)
+	return l.startWrite(nil, now)
 }
 
 // Propose works out what each node may have next and returns the bytes to
@@ -36,19 +36,19 @@
 	if l.pending != nil {
 		return l.pending.value
 	}
-	gone := l.removable(now)
-	room := l.room(now, gone)
+	gone := l.removableNodes(now)
+	room := l.headroom(now, gone)
 	covered := true
 	lower := len(gone) > 0
 	for _, h := range l.order {
-		l.fillNext(h, gone[h.node.ID], room, now)
+		l.computeNext(h, gone[h.node.ID], room, now)
 		for k, n := range h.next {
 			covered = covered && n.within(h.reserved[k])
 			lower = lower || n != h.reserved[k]
 		}
 	}
-	if !covered || l.due(lower, now) {
-		return l.pend(gone, now)
+	if !covered || l.writeDue(lower, now) {
+		return l.startWrite(gone, now)
 	}
 	for _, h := range l.order {
 		h.allowed, h.next = h.next, h.allowed
@@ -56,33 +56,33 @@
 	return nil
 }
 
-// due reports whether a write is due although the store's ledger covers all
+// writeDue reports whether a write is writeDue although the store's ledger covers all
 // amounts.
-func (l *Ledger) due(lower bool, now time.Time) bool {
-	if l.newPlan || l.released {
+func (l *Ledger) writeDue(lower bool, now time.Time) bool {
+	if l.planUnsaved || l.releaseUnsaved {
 		return true
 	}
 	if !lower {
-		l.lowerDue = time.Time{}
+		l.reductionDue = time.Time{}
 		return false
 	}
-	if l.lowerDue.IsZero() {
-		l.lowerDue = now.Add(l.params.ReductionInterval)
+	if l.reductionDue.IsZero() {
+		l.reductionDue = now.Add(l.params.ReductionInterval)
 	}
-	return !now.Before(l.lowerDue)
+	return !now.Before(l.reductionDue)
 }
 
-// pend makes the write. Until it is settled the smaller of the old and the
+// startWrite makes the write. Until it is settled the smaller of the old and the
 // new amounts may be sent: the next decider will read one of the two.
-func (l *Ledger) pend(gone map[grant.NodeID]bool, now time.Time) []byte {
-	l.write++
+func (l *Ledger) startWrite(gone map[grant.NodeID]bool, now time.Time) []byte {
+	l.writeNumber++
 	l.pending = &proposal{
-		value:    l.encode(gone, now),
-		gone:     gone,
-		newPlan:  l.newPlan,
-		released: l.released,
+		value:      l.encode(gone, now),
+		removed:    gone,
+		hasPlan:    l.planUnsaved,
+		hasRelease: l.releaseUnsaved,
 	}
-	l.bytes = len(l.pending.value)
+	l.recordSize = len(l.pending.value)
 	for _, h := range l.order {
 		h.proposed = true
 		for k, n := range h.next {
@@ -104,10 +104,10 @@
 	}
 	l.pending = nil
 	l.rewritten = true
-	l.lowerDue = time.Time{}
-	l.released = l.released && !p.released
-	l.newPlan = l.newPlan && !p.newPlan
-	l.drop(p.gone)
+	l.reductionDue = time.Time{}
+	l.releaseUnsaved = l.releaseUnsaved && !p.hasRelease
+	l.planUnsaved = l.planUnsaved && !p.hasPlan
+	l.removeNodes(p.removed)
 	for _, h := range l.order {
 		if !h.proposed {
 			// The node was added after the write was made.
--- a/control/ledger/record.go
+++ b/control/ledger/record.go
@@ -31,7 +31,7 @@
 }
 
 // Stamp returns the stamp of the last write proposed.
-func (l *Ledger) Stamp() Stamp { return Stamp{Epoch: l.epoch, Write: l.write} }
+func (l *Ledger) Stamp() Stamp { return Stamp{Epoch: l.epoch, Write: l.writeNumber} }
 
 func parse(value []byte) (*peerpb.LedgerRecord, error) {
 	record := &peerpb.LedgerRecord{}
@@ -44,7 +44,7 @@
 func (l *Ledger) encode(gone map[grant.NodeID]bool, now time.Time) []byte {
 	record := &peerpb.LedgerRecord{
 		Epoch:          l.epoch,
-		Write:          l.write,
+		Write:          l.writeNumber,
 		ConfigRevision: l.revision,
 		Plan:           l.plan.Body,
 		PlanSequence:   l.plan.Sequence,
@@ -134,7 +134,7 @@
 }
 
 func (l *Ledger) loadNode(n *peerpb.LedgerNode, region model.RegionName, now time.Time) {
-	h := l.add(Node{
+	h := l.addNode(Node{
 		ID:           grant.NodeID{VM: n.Vm, Incarnation: n.Incarnation},
 		Region:       region,
 		Address:      n.Address,
@@ -151,10 +151,10 @@
 	copy(h.older, h.reserved)
 	copy(h.allowed, h.reserved)
 	copy(h.wanted, h.reserved)
-	h.olderUntil = now.Add(l.params.surplusWait())
+	h.olderUntil = now.Add(l.params.surplusTTLWithMargin())
 	if l.params.Faults.DropSurplusOnTakeover {
 		h.olderUntil = now
 	}
 	// The node may have been heard by the last decider until just now.
-	h.heard = now
+	h.lastContact = now
 }
--- a/control/ledger/remove.go
+++ b/control/ledger/remove.go
@@ -27,25 +27,25 @@
 	for _, h := range l.order {
 		if shown[ListedVM{VM: h.node.ID.VM, Address: h.node.Address}] {
 			h.node.ListSequence = max(h.node.ListSequence, sequence)
-			h.unlisted = time.Time{}
+			h.unlistedSince = time.Time{}
 			continue
 		}
 		older := sequence < h.node.ListSequence && !l.params.Faults.TrustOldVMList
 		if older {
 			continue
 		}
-		if h.unlisted.IsZero() {
-			h.unlisted = readAt
+		if h.unlistedSince.IsZero() {
+			h.unlistedSince = readAt
 		}
-		h.unlistedUntil = readAt
+		h.lastUnlisted = readAt
 	}
 }
 
-// removable returns the nodes whose floors may be given to others.
-func (l *Ledger) removable(now time.Time) map[grant.NodeID]bool {
+// removableNodes returns the nodes whose floors may be given to others.
+func (l *Ledger) removableNodes(now time.Time) map[grant.NodeID]bool {
 	var gone map[grant.NodeID]bool
 	for _, h := range l.order {
-		if !l.ended(h, now) {
+		if !l.canRemove(h, now) {
 			continue
 		}
 		if gone == nil {
@@ -56,26 +56,26 @@
 	return gone
 }
 
-// ended reports whether a node has certainly ended or holds nothing. Silence
+// canRemove reports whether a node has certainly canRemove or holds nothing. Silence
 // alone proves nothing: a node that is cut off goes on with its floors.
-func (l *Ledger) ended(h *holding, now time.Time) bool {
+func (l *Ledger) canRemove(h *nodeGrants, now time.Time) bool {
 	if l.params.Faults.FreeUnreachableFloors {
 		return !now.Before(h.latestUntil) && !now.Before(h.olderUntil)
 	}
 	wait := l.params.WithMargin(l.params.RemovalTime)
-	if now.Sub(h.heard) < wait {
+	if now.Sub(h.lastContact) < wait {
 		return false
 	}
 	if l.holdsNothing(h, now) {
 		return true
 	}
-	if !h.unlisted.IsZero() && h.unlistedUntil.Sub(h.unlisted) >= wait {
+	if !h.unlistedSince.IsZero() && h.lastUnlisted.Sub(h.unlistedSince) >= wait {
 		return true
 	}
-	return l.succeeded(h, now, wait)
+	return l.replacedOnSameVM(h, now, wait)
 }
 
-func (l *Ledger) holdsNothing(h *holding, now time.Time) bool {
+func (l *Ledger) holdsNothing(h *nodeGrants, now time.Time) bool {
 	for k := range l.keys {
 		if h.inForce(k, now) != (Amounts{}) {
 			return false
@@ -84,19 +84,19 @@
 	return true
 }
 
-// succeeded reports whether another life of the same VM at the same address
+// replacedOnSameVM reports whether another life of the same VM at the same address
 // has been heard for the removal time while this one was silent. The VM list
 // goes on to show the VM, so it can never tell that the first life ended, and
 // its floors would be lost for good. Both lives share the network of the VM,
 // so the silent one has ended or is not scheduled, and a process that was not
 // scheduled for so long drops its floors by itself.
-func (l *Ledger) succeeded(h *holding, now time.Time, wait time.Duration) bool {
+func (l *Ledger) replacedOnSameVM(h *nodeGrants, now time.Time, wait time.Duration) bool {
 	for _, o := range l.order {
 		if o == h || o.node.ID.VM != h.node.ID.VM || o.node.Address != h.node.Address {
 			continue
 		}
-		recent := now.Sub(o.heard) < l.params.SurplusTTL
-		if recent && o.first.After(h.heard) && now.Sub(o.first) >= wait {
+		recent := now.Sub(o.lastContact) < l.params.SurplusTTL
+		if recent && o.firstContact.After(h.lastContact) && now.Sub(o.firstContact) >= wait {
 			return true
 		}
 	}
