--- a/control/ledger/amounts.go
+++ b/control/ledger/amounts.go
@@ -5,18 +5,19 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Key names a service in a place; the account is the ledger's.
+// Key identifies a service in a place within the ledger's account.
 type Key struct {
 	Service model.ServiceName
 	Place   model.PlaceName
 }
 
-// Amounts is what one node has for one key.
+// Amounts is one node's grant for one key: a floor without expiry and a surplus
+// that expires after its TTL.
 type Amounts struct {
 	Floor, Surplus grant.Amount
 }
 
-// Total is what is permitted while the surplus lasts.
+// Total is the permitted amount until the surplus expires.
 func (a Amounts) Total() grant.Amount { return a.Floor + a.Surplus }
 
 func (a Amounts) max(b Amounts) Amounts {
@@ -27,7 +28,7 @@
 	return Amounts{Floor: min(a.Floor, b.Floor), Surplus: min(a.Surplus, b.Surplus)}
 }
 
-// within reports whether neither part of a is over that of b.
+// within reports whether a exceeds b in neither the floor nor the surplus.
 func (a Amounts) within(b Amounts) bool {
 	return a.Floor <= b.Floor && a.Surplus <= b.Surplus
 }
--- a/control/ledger/bench_test.go
+++ b/control/ledger/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// The target's sizes: 6 regions with 17 failure domains and two services.
+// Dimensions of the benchmark account; a place is a failure domain.
 const (
 	benchRegions  = 6
 	benchPlaces   = 17
@@ -39,7 +39,7 @@
 func regionName(r int) model.RegionName { return model.RegionName(fmt.Sprintf("region-%d", r)) }
 func placeName(p int) model.PlaceName   { return model.PlaceName(fmt.Sprintf("place-%02d", p)) }
 
-// newFullLedger returns a ledger in which each node holds a part of each key.
+// newFullLedger returns a ledger in which every node holds a grant for every key.
 func newFullLedger(nodes int) (*Ledger, []Node) {
 	l := New(DefaultParams(), 1, NewLimits(benchAccount()))
 	l.Rewrite(start)
@@ -68,7 +68,7 @@
 	return l, all
 }
 
-// BenchmarkProposeSteady is the work of each second while nothing changes.
+// BenchmarkProposeSteady measures a step in which nothing changes.
 func BenchmarkProposeSteady(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -76,15 +76,15 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if l.Propose(start) != nil {
-					b.Fatal("wrote in a steady state")
+					b.Fatal("proposed a write in the steady state")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkProposeFailure is the work of the second in which every grant
-// changes and the ledger is written.
+// BenchmarkProposeFailure measures a step that changes every grant and writes the
+// ledger.
 func BenchmarkProposeFailure(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// BenchmarkIssue is the ledger's part in one answer to a report.
+// BenchmarkIssue measures issuing one set.
 func BenchmarkIssue(b *testing.B) {
 	l, all := newFullLedger(550)
 	b.ReportAllocs()
@@ -124,16 +124,16 @@
 	}
 }
 
-// The whole ledger of the target's fleet must fit in one value of the store,
-// with room to grow: an account whose ledger cannot be written gets no raise.
-func TestRecordFitsTheStore(t *testing.T) {
+// The record must fit a store value with headroom: if the ledger cannot be written,
+// no grant can be raised.
+func TestRecordFitsStoreValue(t *testing.T) {
 	const limit = 1 << 20
 	for _, nodes := range benchNodes {
 		l, _ := newFullLedger(nodes)
 		perEntry := float64(l.RecordSize()) / float64(nodes*len(l.Keys()))
-		t.Logf("%d nodes, %d keys: %d bytes, %.1f for each node and key", nodes, len(l.Keys()), l.RecordSize(), perEntry)
+		t.Logf("%d nodes, %d keys: %d bytes, %.1f per node and key", nodes, len(l.Keys()), l.RecordSize(), perEntry)
 		if l.RecordSize() > limit/4 {
-			t.Errorf("%d nodes take %d bytes", nodes, l.RecordSize())
+			t.Errorf("record of %d nodes has %d bytes", nodes, l.RecordSize())
 		}
 	}
 }
--- a/control/ledger/room.go
+++ b/control/ledger/headroom.go
@@ -7,17 +7,17 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// headroom is what may still be given, by key, region and link; negative when
-// more is out than the capacity. Regions are numbered, as the sums are made
-// for each node and key.
+// headroom is the unused capacity by key, region and link. It is negative where
+// more than the capacity may be in force. Regions are numbered to avoid map
+// lookups for each node and key.
 type headroom struct {
 	regionNumbers map[model.RegionName]int
-	// keyRegion is the region of each key's place.
+	// keyRegion is the region number of each key's place.
 	keyRegion         []int
 	key, region, link []int64
 }
 
-func (l *Ledger) headroom(now time.Time, gone map[grant.NodeID]bool) *headroom {
+func (l *Ledger) headroom(now time.Time, removed map[grant.NodeID]bool) *headroom {
 	r := &headroom{
 		regionNumbers: make(map[model.RegionName]int),
 		keyRegion:     make([]int, len(l.keys)),
@@ -28,7 +28,7 @@
 		r.keyRegion[k] = r.regionNumber(l.limits, l.limits.RegionOf(key.Place))
 	}
 	for _, h := range l.order {
-		if gone[h.node.ID] {
+		if removed[h.node.ID] {
 			continue
 		}
 		from := r.regionNumber(l.limits, h.node.Region)
@@ -39,7 +39,7 @@
 	return r
 }
 
-// regionNumber returns the regionNumber of a region, which gets one when it is new.
+// regionNumber returns the number of a region and assigns one to a new region.
 func (r *headroom) regionNumber(limits *Limits, name model.RegionName) int {
 	n, ok := r.regionNumbers[name]
 	if ok {
@@ -74,21 +74,21 @@
 	return grant.Amount(max(left, 0))
 }
 
-// allotRaise takes the part of a allotRaise that there is room for.
+// allotRaise subtracts the part of a raise that fits the headroom, and returns it.
 func (r *headroom) allotRaise(held, wanted grant.Amount, k, from int) grant.Amount {
 	if wanted <= held {
 		return 0
 	}
-	given := min(wanted-held, r.available(k, from))
-	r.subtract(k, from, given)
-	return given
+	raise := min(wanted-held, r.available(k, from))
+	r.subtract(k, from, raise)
+	return raise
 }
 
-// computeNext sets what the node may have next: what may be in force, and the
-// raise it wants as far as there is room. A node that no VM list has shown
-// gets no raise of a floor: the list could never tell that it ended.
-func (l *Ledger) computeNext(h *nodeGrants, gone bool, room *headroom, now time.Time) {
-	if gone {
+// computeNext sets the node's next amounts: those that may be in force, plus the
+// wanted raise as far as the headroom allows. A node that no VM list has contained
+// gets no floor, because the list could never show that it ended.
+func (l *Ledger) computeNext(h *nodeGrants, removed bool, room *headroom, now time.Time) {
+	if removed {
 		clear(h.next)
 		return
 	}
--- a/control/ledger/issue.go
+++ b/control/ledger/issue.go
@@ -6,7 +6,7 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// RecordContact notes that a node was heard, which adds it when it is new.
+// RecordContact records a message from a node and adds the node if it is new.
 func (l *Ledger) RecordContact(node Node, now time.Time) {
 	h := l.nodes[node.ID]
 	if h == nil {
@@ -18,16 +18,17 @@
 	h.lastContact = now
 }
 
-// SetLeaving notes that a node is in a planned stop.
+// SetLeaving records whether a node is in a planned stop. A node that has
+// released its grants stays leaving.
 func (l *Ledger) SetLeaving(id grant.NodeID, leaving bool) {
 	if h := l.nodes[id]; h != nil {
 		h.leaving = leaving || h.stopped
 	}
 }
 
-// Acknowledge notes that the node has applied the set (epoch, sequence), so
-// that no earlier content is in force any more. An acknowledgement of another
-// epoch says nothing about the sets of this one.
+// Acknowledge records that the node has applied the set (epoch, sequence), so
+// earlier amounts are no longer in force. Acknowledgements of other epochs are
+// ignored.
 func (l *Ledger) Acknowledge(id grant.NodeID, epoch, sequence uint64) {
 	h := l.nodes[id]
 	if h == nil || epoch != l.epoch || sequence > l.sequence {
@@ -40,8 +41,8 @@
 	h.olderUntil = time.Time{}
 }
 
-// Release notes that the node has closed its admission for good: it holds
-// nothing, and no set that is still under way will be applied.
+// Release records that the node has closed its admission permanently: it holds
+// no grants and will apply no set that is still in flight.
 func (l *Ledger) Release(id grant.NodeID) {
 	h := l.nodes[id]
 	if h == nil {
@@ -55,28 +56,30 @@
 	l.releaseUnsaved = true
 }
 
-// SetWanted asks for amounts in the order of Keys; they are given by Propose.
+// SetWanted sets the amounts requested for a node, in the order of Keys. Propose
+// grants them as far as the limits allow.
 func (l *Ledger) SetWanted(id grant.NodeID, wanted []Amounts) {
 	if h := l.nodes[id]; h != nil {
 		copy(h.wanted, wanted)
 	}
 }
 
-// IssuedSet is a set to be sent.
+// IssuedSet is a set of grants to send to a node.
 type IssuedSet struct {
 	Epoch, Sequence uint64
 	TTL             time.Duration
 	// Amounts is in the order of Keys and must not be changed.
 	Amounts []Amounts
-	// FirstSequence is the first sequence of this epoch that had the same content.
+	// FirstSequence is the sequence of the first set of this epoch with the same
+	// amounts.
 	FirstSequence uint64
 }
 
-// Issue returns the set that answers a report received at now. What it holds
-// is in the store's ledger already; the surplus counts as in force from now on
-// for its time to live and the margin. now must be read after the report was
-// received and before the lease was checked, so that a decider which lost its
-// lease in between gave nothing that outlives the wait of its successor.
+// Issue returns the set to send in response to a report. Its amounts are covered
+// by the stored ledger, and its surplus counts as in force from now for the TTL
+// plus the margin. now must be read after the report was received and before the
+// lease was checked: if the lease was lost in between, the surplus then still
+// expires within the successor's wait.
 func (l *Ledger) Issue(id grant.NodeID, now time.Time) (IssuedSet, bool) {
 	h := l.nodes[id]
 	if h == nil || !l.rewritten {
@@ -110,19 +113,19 @@
 	return true
 }
 
-// OutdatedNodes returns the nodes that were given a set in this term and whose next set
-// has other amounts.
+// OutdatedNodes returns the nodes whose amounts have changed since the last set
+// issued to them in this term.
 func (l *Ledger) OutdatedNodes() []Node {
-	var untold []Node
+	var outdated []Node
 	for _, h := range l.order {
 		if h.latestFirstSequence != 0 && !h.upToDate() {
-			untold = append(untold, h.node)
+			outdated = append(outdated, h.node)
 		}
 	}
-	return untold
+	return outdated
 }
 
-// nextContent is a new slice, as the last one may still be read by a sender.
+// nextContent returns a new slice because a sender may still read the last one.
 func (h *nodeGrants) nextContent() []Amounts {
 	c := make([]Amounts, len(h.latest))
 	for k := range c {
--- a/control/ledger/ledger.go
+++ b/control/ledger/ledger.go
@@ -1,16 +1,16 @@
-// Package ledger accounts for every grant of one client account: what may be
-// in force on any node, counting messages under way, lost acknowledgements,
-// paused and unreachable nodes. Its sum never passes a capacity. The package
-// is pure: it does no I/O, and the clock is passed in.
+// Package ledger tracks every grant of one client account: the largest amounts
+// that may be in force on any node, given messages in flight, lost
+// acknowledgements, and paused or unreachable nodes. Their sum never exceeds a
+// capacity. The package does no I/O, and callers pass in the time.
 //
-// The order of use by a decider:
+// A decider calls it in this order:
 //
 //	Load (takeover) -> Rewrite -> write to the store -> ConfirmWrite
 //	loop: SetWanted, Propose -> write to the store -> ConfirmWrite | DiscardWrite
 //	on each report: RecordContact, Acknowledge, Issue -> send
 //
-// A write whose outcome is unknown is sent again with the same bytes and the
-// same expected revision until it is known; Propose returns it until then.
+// A write with an unknown outcome is retried with the same bytes and the same
+// expected revision until the outcome is known; Propose returns it until then.
 package ledger
 
 import (
@@ -21,8 +21,8 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Ledger is the account of all grants of one client account. It is not safe
-// for use by several goroutines.
+// Ledger holds all grants of one client account. It is not safe for concurrent
+// use.
 type Ledger struct {
 	params      Params
 	epoch       uint64
@@ -37,25 +37,25 @@
 	moves       []Move
 	plan        Plan
 	pending     *proposal
-	// rewritten tells that the store holds this decider's epoch.
+	// rewritten is true once the stored record has this decider's epoch.
 	rewritten bool
-	// planUnsaved tells that the plan is not in the store yet.
+	// planUnsaved is true while the plan is not in the store.
 	planUnsaved bool
-	// releaseUnsaved tells that a node has handed back its grants since the last
-	// write: without a write a new decider would wait for the removal time.
+	// releaseUnsaved is true if a node has released its grants since the last
+	// write. Without a write, a new decider would wait for the removal time.
 	releaseUnsaved bool
 	reductionDue   time.Time
-	// recordSize is the size of the last write.
+	// recordSize is the size of the last proposed record in bytes.
 	recordSize int
 }
 
-// Plan is the last plan as the ledger keeps it.
+// Plan is the encoded plan that is stored with the ledger.
 type Plan struct {
 	Body     []byte
 	Sequence uint64
 }
 
-// New returns an empty ledger for an account that has none.
+// New returns an empty ledger for an account without a stored one.
 func New(params Params, epoch uint64, limits *Limits) *Ledger {
 	l := &Ledger{
 		params: params,
@@ -70,21 +70,21 @@
 // Epoch returns the fencing token of the decider.
 func (l *Ledger) Epoch() uint64 { return l.epoch }
 
-// Revision returns the newest configuration revision the ledger was bounded by.
+// Revision returns the newest configuration revision whose limits were applied.
 func (l *Ledger) Revision() uint64 { return l.revision }
 
 // Limits returns the capacities in use.
 func (l *Ledger) Limits() *Limits { return l.limits }
 
-// Keys returns the keys in the order of all amounts. Keys are only added, so
-// that an index stays valid.
+// Keys returns the keys in the order used by all slices of amounts. Keys are
+// only appended, so indexes stay valid.
 func (l *Ledger) Keys() []Key { return l.keys }
 
-// NodeCount returns how many lives of nodes the ledger counts.
+// NodeCount returns the number of node incarnations in the ledger.
 func (l *Ledger) NodeCount() int { return len(l.order) }
 
-// UnlistedCount returns how many nodes that were heard no VM list has shown at
-// their address. They get no floor.
+// UnlistedCount returns the number of nodes that no VM list has shown at their
+// address. They get no floor.
 func (l *Ledger) UnlistedCount() int {
 	n := 0
 	for _, h := range l.order {
@@ -95,13 +95,12 @@
 	return n
 }
 
-// RecordSize returns the size of the last write proposed.
+// RecordSize returns the size of the last proposed record in bytes.
 func (l *Ledger) RecordSize() int { return l.recordSize }
 
-// SetLimits takes capacities into use. It returns false, and changes nothing,
-// for a configuration older than one the ledger was bounded by: a decider that
-// lags behind its predecessor must not raise by capacities that an operator
-// has lowered since.
+// SetLimits replaces the limits. It returns false, and changes nothing, for a
+// revision older than one already applied: a decider with a stale
+// configuration must not raise grants above capacities lowered since.
 func (l *Ledger) SetLimits(limits *Limits) bool {
 	if limits.Revision < l.revision && !l.params.Faults.AcceptOldConfiguration {
 		return false
@@ -135,13 +134,13 @@
 	return h
 }
 
-func (l *Ledger) removeNodes(gone map[grant.NodeID]bool) {
-	if len(gone) == 0 {
+func (l *Ledger) removeNodes(removed map[grant.NodeID]bool) {
+	if len(removed) == 0 {
 		return
 	}
 	kept := l.order[:0]
 	for _, h := range l.order {
-		if gone[h.node.ID] {
+		if removed[h.node.ID] {
 			delete(l.nodes, h.node.ID)
 			continue
 		}
@@ -158,17 +157,17 @@
 	return a.Incarnation < b.Incarnation
 }
 
-// Outstanding sums the largest amounts that may be in force.
+// Outstanding sums the largest amounts that may be in force at now.
 func (l *Ledger) Outstanding(now time.Time) *Usage {
 	return l.sum(func(h *nodeGrants, k int) Amounts { return h.inForce(k, now) })
 }
 
-// Reserved sums what the store's ledger counts.
+// Reserved sums the amounts in the stored record.
 func (l *Ledger) Reserved() *Usage {
 	return l.sum(func(h *nodeGrants, k int) Amounts { return h.reserved[k] })
 }
 
-// Allowed sums what may be sent.
+// Allowed sums the amounts that may be issued.
 func (l *Ledger) Allowed() *Usage {
 	return l.sum(func(h *nodeGrants, k int) Amounts { return h.allowed[k] })
 }
@@ -183,18 +182,19 @@
 	return use
 }
 
-// NodeState is what the allocation needs to know of a node.
+// NodeState is the allocation's input for one node.
 type NodeState struct {
 	Node Node
-	// Wanted is what was last asked for, InForce what may be in force.
+	// Wanted holds the amounts last passed to SetWanted, InForce the largest
+	// amounts that may be in force.
 	Wanted, InForce []Amounts
-	// LastContact is when the node was last heard, zero for never.
+	// LastContact is the time of the last contact, zero for none.
 	LastContact time.Time
 	Leaving     bool
 }
 
-// States returns all nodes in a fixed order. The slices are the ledger's own
-// but for InForce: do not change them.
+// States returns all nodes in a fixed order. All slices except InForce belong
+// to the ledger and must not be changed.
 func (l *Ledger) States(now time.Time) []NodeState {
 	states := make([]NodeState, len(l.order))
 	flat := make([]Amounts, len(l.order)*len(l.keys))
@@ -217,7 +217,7 @@
 }
 
 // Permitted returns the largest amount that a node may have in force for a
-// service, over all places.
+// service, summed over all places.
 func (l *Ledger) Permitted(id grant.NodeID, service model.ServiceName, now time.Time) grant.Amount {
 	h := l.nodes[id]
 	if h == nil {
--- a/control/ledger/ledger_test.go
+++ b/control/ledger/ledger_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// twoRegions is an account with one service in two places behind links.
+// twoRegions returns an account with one service in one place of each of two regions.
 func twoRegions(rps float64) *model.Account {
 	return &model.Account{
 		Name:     "test",
@@ -32,7 +32,7 @@
 	return Node{ID: grant.NodeID{VM: vm, Incarnation: 1}, Region: "east", Address: vm + ":1", ListSequence: 1}
 }
 
-// newTestLedger returns a ledger whose first write has been made.
+// newTestLedger returns a ledger with nodes whose first write is confirmed.
 func newTestLedger(t *testing.T, nodes ...Node) *Ledger {
 	t.Helper()
 	l := New(DefaultParams(), 1, NewLimits(twoRegions(100)))
@@ -67,7 +67,6 @@
 	return set.Amounts[0], set.Sequence
 }
 
-// commitAndIssue commits amounts for a node and sends them.
 func commitAndIssue(t *testing.T, l *Ledger, n Node, floor, surplus float64) {
 	t.Helper()
 	setWanted(l, n, floor, surplus)
@@ -89,24 +88,23 @@
 	}
 }
 
-// A raise whose write has no answer must not reach the node: if the write
-// never happened, the next decider would not count it.
-func TestRaiseWaitsForItsWrite(t *testing.T) {
+// A raise must not be issued before its write is confirmed, or the next decider
+// might not count it.
+func TestRaiseIssuedOnlyAfterWrite(t *testing.T) {
 	a := node("a")
 	l := newTestLedger(t, a)
 	setWanted(l, a, 40, 0)
 	if l.Propose(start) == nil {
-		t.Fatal("a raise needs a write")
+		t.Fatal("no write proposed for a raise")
 	}
 	wantFloor(t, l, a, start, 0, "before the write")
 	l.ConfirmWrite()
 	wantFloor(t, l, a, start, 40, "after the write")
 }
 
-// While a write that lowers a node is not settled, the old amount must not be
-// sent again either: the write may take effect, and the next decider then
-// counts only the lower one.
-func TestUnsettledLowerIsNotRaisedAgain(t *testing.T) {
+// While a write that lowers a node is pending, the old amount must not be issued
+// again: if the write takes effect, the next decider counts only the lower one.
+func TestPendingReductionLimitsIssuedAmount(t *testing.T) {
 	a, b := node("a"), node("b")
 	l := newTestLedger(t, a, b)
 	commitAndIssue(t, l, a, 40, 0)
@@ -115,14 +113,14 @@
 	l.Acknowledge(a.ID, 1, sequence)
 	setWanted(l, b, 90, 0)
 	if l.Propose(start) == nil {
-		t.Fatal("a raise needs a write")
+		t.Fatal("no write proposed for a raise")
 	}
 	setWanted(l, a, 40, 0)
-	wantFloor(t, l, a, start, 10, "while a lower amount was being written")
+	wantFloor(t, l, a, start, 10, "while the reduction is pending")
 }
 
-// A lowered floor is free only when the node acknowledged the lower one: the
-// message may be lost and the node go on with the old floor for days.
+// A lowered floor is freed only by an acknowledgement: if the message is lost, the
+// node keeps using the old floor.
 func TestLoweredFloorIsCountedUntilAcknowledged(t *testing.T) {
 	a, b := node("a"), node("b")
 	l := newTestLedger(t, a, b)
@@ -140,25 +138,24 @@
 	wantFloor(t, l, b, later, 80, "after the acknowledgement")
 }
 
-// A surplus is free once it has run out with the margin, without any word of
-// its holder, but not earlier.
-func TestSurplusIsFreeAfterItsTimeAndMargin(t *testing.T) {
+// A surplus is freed after its TTL and margin without an acknowledgement, and not
+// earlier.
+func TestSurplusFreedAfterTTLAndMargin(t *testing.T) {
 	a, b := node("a"), node("b")
 	l := newTestLedger(t, a, b)
 	commitAndIssue(t, l, a, 0, 100)
 	setWanted(l, a, 0, 0)
 	setWanted(l, b, 0, 100)
-	ends := start.Add(l.params.WithMargin(l.params.SurplusTTL))
-	commit(l, ends.Add(-time.Nanosecond))
-	wantSurplus(t, l, b, ends.Add(-time.Nanosecond), 0, "before its time ended")
-	commit(l, ends)
-	wantSurplus(t, l, b, ends, 100, "after the surplus ended")
+	expiry := start.Add(l.params.WithMargin(l.params.SurplusTTL))
+	commit(l, expiry.Add(-time.Nanosecond))
+	wantSurplus(t, l, b, expiry.Add(-time.Nanosecond), 0, "before expiry")
+	commit(l, expiry)
+	wantSurplus(t, l, b, expiry, 100, "after expiry")
 }
 
-// A failure domain is gone and its nodes with it: the VM list still shows
-// them, then does not. Their floors must stay counted for the removal time
-// after the list dropped them, and be free then.
-func TestFloorsOfEndedNodes(t *testing.T) {
+// The floor of a node that left the VM list stays reserved for the removal time
+// and is freed after it.
+func TestFloorFreedAfterRemovalTime(t *testing.T) {
 	a, b := node("a"), node("b")
 	l := newTestLedger(t, a, b)
 	commitAndIssue(t, l, a, 100, 0)
@@ -170,17 +167,15 @@
 	l.RecordContact(b, free)
 	l.ObserveVMs(listed, 2, free.Add(-time.Nanosecond))
 	commit(l, free.Add(-time.Nanosecond))
-	wantFloor(t, l, b, free, 0, "before its time ended")
+	wantFloor(t, l, b, free, 0, "before the removal time")
 	l.ObserveVMs(listed, 2, free)
 	commit(l, free)
 	wantFloor(t, l, b, free, 100, "after the removal time")
 }
 
-// The list service goes out just after it dropped a VM that is cut off. The
-// decider offers the last reading again and again for an hour. The VM may have
-// returned unseen, so its floor stays counted until a reading of after the
-// outage still lacks it.
-func TestListOutageIsNoAbsence(t *testing.T) {
+// During an outage of the list service, the last reading is passed repeatedly. A VM
+// missing from it may be back, so its floor stays reserved until a new reading.
+func TestVMListOutageDoesNotFreeFloor(t *testing.T) {
 	a, b := node("a"), node("b")
 	l := newTestLedger(t, a, b)
 	commitAndIssue(t, l, a, 100, 0)
@@ -191,17 +186,17 @@
 		l.RecordContact(b, now)
 		l.ObserveVMs(listed, 2, start)
 		commit(l, now)
-		wantFloor(t, l, b, now, 0, "while the list was out")
+		wantFloor(t, l, b, now, 0, "during the list outage")
 	}
 	l.RecordContact(b, back)
 	l.ObserveVMs(listed, 2, back)
 	commit(l, back)
-	wantFloor(t, l, b, back, 100, "once a reading told the absence")
+	wantFloor(t, l, b, back, 100, "after a new reading without the VM")
 }
 
-// A process restarts on its VM, which the list goes on to show. The floor of
-// its first life must come back in the end, and only after the removal time.
-func TestFloorOfAnEarlierLifeOfTheVM(t *testing.T) {
+// After a process restart the VM stays listed. The floor of the previous
+// incarnation is freed after the removal time and not earlier.
+func TestFloorOfPreviousIncarnationFreed(t *testing.T) {
 	a := node("a")
 	second := a
 	second.ID.Incarnation = 2
@@ -215,16 +210,15 @@
 		setWanted(l, second, 100, 0)
 		commit(l, now)
 		if got, _ := issue(t, l, second, now); got.Floor != 0 {
-			t.Fatalf("gave %v after %s", got, now.Sub(restarted))
+			t.Fatalf("issued %v after %s", got, now.Sub(restarted))
 		}
 	}
 	commit(l, free)
 	wantFloor(t, l, second, free, 100, "after the removal time")
 }
 
-// A decider whose VM list lags behind its predecessor's does not know a new
-// node yet, which is no sign that it ended.
-func TestOlderListProvesNothing(t *testing.T) {
+// A VM list older than the one that contained a node does not show that it ended.
+func TestOlderVMListDoesNotRemoveNode(t *testing.T) {
 	a := node("a")
 	a.ListSequence = 7
 	l := newTestLedger(t, a)
@@ -233,13 +227,13 @@
 	l.ObserveVMs(nil, 6, start)
 	l.Propose(later)
 	if l.NodeCount() != 1 {
-		t.Fatal("removed by a list older than the one that showed the node")
+		t.Fatal("node removed by a VM list older than the one that contained it")
 	}
 }
 
-// An operator lowers a capacity below what is out. Nothing may be raised until
-// acknowledgements bring the sum under it.
-func TestNoRaiseOverALoweredCapacity(t *testing.T) {
+// After a capacity is lowered below the outstanding amounts, nothing is raised until
+// acknowledgements bring the sum below it.
+func TestNoRaiseAboveLoweredCapacity(t *testing.T) {
 	a, b := node("a"), node("b")
 	l := newTestLedger(t, a, b)
 	commitAndIssue(t, l, a, 80, 0)
@@ -249,19 +243,19 @@
 	setWanted(l, a, 20, 0)
 	setWanted(l, b, 30, 0)
 	commit(l, start)
-	wantFloor(t, l, b, start, 0, "while more than the capacity is out")
+	wantFloor(t, l, b, start, 0, "while the outstanding amounts exceed the capacity")
 	_, sequence := issue(t, l, a, start)
 	l.Acknowledge(a.ID, 1, sequence)
 	commit(l, start)
-	wantFloor(t, l, b, start, 30, "once there was room")
+	wantFloor(t, l, b, start, 30, "once capacity was free")
 	if l.SetLimits(NewLimits(twoRegions(100))) {
-		t.Fatal("took an older configuration")
+		t.Fatal("an older configuration was accepted")
 	}
 }
 
-// A decider dies. The next one must count what the last one gave: floors for
-// good, surplus for its whole time from the takeover, moves with their age.
-func TestTakeoverKeepsWhatWasGiven(t *testing.T) {
+// A takeover keeps the floors, counts each surplus for a full TTL from the takeover,
+// and keeps the moves with their age.
+func TestTakeoverKeepsGrantsAndMoves(t *testing.T) {
 	a, b := node("a"), node("b")
 	l := newTestLedger(t, a)
 	setWanted(l, a, 50, 50)
@@ -282,24 +276,24 @@
 	setWanted(next, b, 0, 50)
 	commit(next, start)
 	if got, _ := issue(t, next, b, start); got != (Amounts{}) {
-		t.Fatalf("gave %v at once after the takeover", got)
+		t.Fatalf("issued %v immediately after the takeover", got)
 	}
-	ends := start.Add(next.params.WithMargin(next.params.SurplusTTL))
-	commit(next, ends)
-	if got, _ := issue(t, next, b, ends); got.Surplus != AmountFromRPS(50) {
-		t.Fatalf("gave %v after the last surplus ended", got)
+	expiry := start.Add(next.params.WithMargin(next.params.SurplusTTL))
+	commit(next, expiry)
+	if got, _ := issue(t, next, b, expiry); got.Surplus != AmountFromRPS(50) {
+		t.Fatalf("issued %v after the previous surplus expired", got)
 	}
 	moves := next.Moves()
 	if len(moves) != 1 || moves[0].Delta != 100 || moves[0].At.Before(start.Add(-time.Minute)) {
 		t.Fatalf("moves after the takeover: %+v", moves)
 	}
 	if _, err := Load(value, DefaultParams(), 1, NewLimits(twoRegions(100)), start); err == nil {
-		t.Fatal("took over from an epoch that is not older")
+		t.Fatal("loaded a ledger whose epoch is not older")
 	}
 }
 
-// More is wanted for a region, and for the link into it, than they carry.
-func TestRegionAndLinkBoundTheSum(t *testing.T) {
+// The wanted amounts exceed the limits of a region and of the link into it.
+func TestRegionAndLinkLimitAmounts(t *testing.T) {
 	a, far := node("a"), node("far")
 	far.Region = "west"
 	l := newTestLedger(t, a, far)
@@ -312,8 +306,8 @@
 	wantFloor(t, l, far, start, 20, "to a node outside the region")
 }
 
-// A VM is so new that no list shows it. If it ended, no list could ever tell,
-// so it gets only what ends by itself.
+// A node that no VM list has contained gets only surplus: no list could show that it
+// ended, and its floor would never be freed.
 func TestUnlistedNodeGetsNoFloor(t *testing.T) {
 	a := node("a")
 	a.ListSequence = 0
@@ -321,28 +315,28 @@
 	setWanted(l, a, 50, 50)
 	commit(l, start)
 	if got, _ := issue(t, l, a, start); got != (Amounts{Surplus: AmountFromRPS(50)}) {
-		t.Fatalf("gave %v", got)
+		t.Fatalf("issued %v", got)
 	}
 	l.ObserveVMs([]ListedVM{{VM: "a", Address: "a:1"}}, 1, start)
 	commit(l, start)
-	wantFloor(t, l, a, start, 50, "once it was listed")
+	wantFloor(t, l, a, start, 50, "after it was listed")
 }
 
-// A planned stop frees what the node had, and writes that at once: the next
-// decider would otherwise count it until the removal time.
-func TestStoppedNodeIsFreeAndWritten(t *testing.T) {
+// A release is written at once, or the next decider would count the grants until the
+// removal time.
+func TestReleaseIsWrittenAtOnce(t *testing.T) {
 	a := node("a")
 	l := newTestLedger(t, a)
 	commitAndIssue(t, l, a, 100, 0)
 	l.Release(a.ID)
 	l.SetLeaving(a.ID, false)
 	if !commit(l, start) {
-		t.Fatal("not written")
+		t.Fatal("no write proposed after a release")
 	}
 	if use := l.Reserved(); use.Keys[l.Keys()[0]] != 0 {
-		t.Fatalf("%d still counted in the store", use.Keys[l.Keys()[0]])
+		t.Fatalf("%d still reserved in the store", use.Keys[l.Keys()[0]])
 	}
 	if !l.States(start)[0].Leaving {
-		t.Fatal("a late report made a stopped node a live one")
+		t.Fatal("a late report cleared the leaving state of a stopped node")
 	}
 }
--- a/control/ledger/limits.go
+++ b/control/ledger/limits.go
@@ -10,7 +10,7 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Limits are the capacities of one account at one configuration revision.
+// Limits holds the capacities of one account at one configuration revision.
 type Limits struct {
 	Revision uint64
 	keys     []Key
@@ -19,13 +19,13 @@
 	regions  map[model.RegionName]RegionLimit
 }
 
-// RegionLimit bounds the work in a region and the work that enters it from
-// nodes in other regions.
+// RegionLimit bounds the load of a region and the part of it that nodes of other
+// regions send.
 type RegionLimit struct {
 	Capacity, LinkIn grant.Amount
 }
 
-// NewLimits reads the capacities of an account.
+// NewLimits returns the limits of an account's configuration.
 func NewLimits(account *model.Account) *Limits {
 	l := &Limits{
 		Revision: account.Revision,
@@ -60,17 +60,17 @@
 // Keys returns the services and places that have a capacity, sorted.
 func (l *Limits) Keys() []Key { return l.keys }
 
-// Capacity returns the capacity of a key, 0 for one that is not configured.
+// Capacity returns the capacity of a key, 0 if it is not configured.
 func (l *Limits) Capacity(key Key) grant.Amount { return l.capacity[key] }
 
-// RegionOf returns the region of a place, "" for an unknown one.
+// RegionOf returns the region of a place, "" if the place is unknown.
 func (l *Limits) RegionOf(place model.PlaceName) model.RegionName { return l.places[place] }
 
-// Region returns the limits of a region, 0 for one that is not configured.
+// Region returns the limits of a region, zero if it is not configured.
 func (l *Limits) Region(name model.RegionName) RegionLimit { return l.regions[name] }
 
-// AmountFromRPS converts requests per second, rounding down; what is not a
-// positive number is 0.
+// AmountFromRPS converts requests per second to an amount and rounds down. NaN
+// and negative rates give 0.
 func AmountFromRPS(rps float64) grant.Amount {
 	if !(rps > 0) {
 		return 0
@@ -88,14 +88,14 @@
 	return a.Place < b.Place
 }
 
-// Usage sums amounts against limits.
+// Usage sums amounts by key, region and link.
 type Usage struct {
 	Keys    map[Key]grant.Amount
 	Regions map[model.RegionName]grant.Amount
 	Links   map[model.RegionName]grant.Amount
 }
 
-// NewUsage returns an empty sum.
+// NewUsage returns an empty usage.
 func NewUsage() *Usage {
 	return &Usage{
 		Keys:    make(map[Key]grant.Amount),
@@ -104,7 +104,7 @@
 	}
 }
 
-// Add counts an amount of a node in region from for a key.
+// Add adds an amount for a key that a node in region from may send.
 func (u *Usage) Add(l *Limits, from model.RegionName, key Key, a grant.Amount) {
 	to := l.RegionOf(key.Place)
 	u.Keys[key] += a
@@ -114,21 +114,21 @@
 	}
 }
 
-// Check returns an error that names the first limit that is passed.
+// Check returns an error for a limit that is exceeded.
 func (u *Usage) Check(l *Limits) error {
 	for key, a := range u.Keys {
 		if a > l.Capacity(key) {
-			return errors.Errorf("ledger: %s in %s: %d out of %d", key.Service, key.Place, a, l.Capacity(key))
+			return errors.Errorf("ledger: service %s in %s uses %d, limit %d", key.Service, key.Place, a, l.Capacity(key))
 		}
 	}
 	for name, a := range u.Regions {
 		if a > l.Region(name).Capacity {
-			return errors.Errorf("ledger: region %s: %d out of %d", name, a, l.Region(name).Capacity)
+			return errors.Errorf("ledger: region %s uses %d, limit %d", name, a, l.Region(name).Capacity)
 		}
 	}
 	for name, a := range u.Links {
 		if a > l.Region(name).LinkIn {
-			return errors.Errorf("ledger: link into %s: %d out of %d", name, a, l.Region(name).LinkIn)
+			return errors.Errorf("ledger: link into %s uses %d, limit %d", name, a, l.Region(name).LinkIn)
 		}
 	}
 	return nil
--- a/control/ledger/moves.go
+++ b/control/ledger/moves.go
@@ -7,39 +7,39 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// Move is one change of one share that a plan made.
+// Move is a change of one traffic share by a plan.
 type Move struct {
 	At      time.Time
 	Service model.ServiceName
 	Caller  model.RegionName
 	Place   model.PlaceName
-	// Delta is the change of the share, parts per million.
+	// Delta is the change of the share in parts per million.
 	Delta int32
-	// Cause is the planner's number for why.
+	// Cause is the planner's reason code.
 	Cause uint8
-	// firstAt is when the firstAt of several merged moves was made.
+	// firstAt is the time of the earliest of the merged moves.
 	firstAt time.Time
-	// unpublished tells that the plan may not have been given out yet.
+	// unpublished is true while the plan may not have been published.
 	unpublished bool
 }
 
-// mergeIntervals is into how many parts a window is divided: like moves within
-// one part are kept as one, which bounds the size of the record.
+// mergeIntervals is the number of intervals in a window. Similar moves within
+// one interval are merged, which bounds the size of the record.
 const mergeIntervals = 16
 
-// Moves returns the moves kept, oldest first.
+// Moves returns a copy of the recorded moves.
 func (l *Ledger) Moves() []Move { return append([]Move(nil), l.moves...) }
 
-// Plan returns the last plan committed or proposed.
+// Plan returns the last plan, which may not be in the store yet.
 func (l *Ledger) Plan() Plan { return l.plan }
 
-// SetPlan puts a plan and the moves it makes into the next write. The plan may
-// be given out when HasUnsavedPlan is false. Moves are kept for the memory; a window
-// is that of the account's move cap.
-func (l *Ledger) SetPlan(plan Plan, moves []Move, window, memory time.Duration, now time.Time) {
+// SetPlan adds a plan and its moves to the next write. The plan may be published
+// once HasUnsavedPlan is false. Moves are kept for the retention time; window is
+// the window of the account's move cap.
+func (l *Ledger) SetPlan(plan Plan, moves []Move, window, retention time.Duration, now time.Time) {
 	l.plan = plan
 	l.planUnsaved = true
-	l.dropMovesBefore(now.Add(-l.params.WithMargin(memory)))
+	l.dropMovesBefore(now.Add(-l.params.WithMargin(retention)))
 	for _, m := range moves {
 		m.At = now
 		m.firstAt = now
@@ -58,8 +58,8 @@
 	l.moves = kept
 }
 
-// addMove merges a move into a like one that is recent. The merged move counts
-// as made at the later time, so that none is forgotten early.
+// addMove merges a move into a similar recent one. The merged move has the later
+// time, so that no part of it is dropped early.
 func (l *Ledger) addMove(m Move, within time.Duration) {
 	for i := range l.moves {
 		old := &l.moves[i]
@@ -78,10 +78,9 @@
 		m.Cause == n.Cause && (m.Delta < 0) == (n.Delta < 0)
 }
 
-// MarkPublished notes that the plan has been given out by now. Its moves count
-// from here, however long the write and the way to the nodes took: counted
-// from the decision they would leave the window early, and the next moves
-// would meet them in it.
+// MarkPublished records that the plan was published at now. Its moves count from
+// this time, not from the decision: otherwise they would leave the window early
+// and the next moves could exceed the cap together with them.
 func (l *Ledger) MarkPublished(now time.Time) {
 	for i := range l.moves {
 		m := &l.moves[i]
@@ -92,7 +91,7 @@
 	}
 }
 
-// HasUnsavedPlan reports whether a plan is not in the store yet.
+// HasUnsavedPlan reports whether the plan is not in the store yet.
 func (l *Ledger) HasUnsavedPlan() bool { return l.planUnsaved }
 
 func (l *Ledger) encodeMoves(now time.Time) []*peerpb.LedgerMove {
@@ -110,7 +109,8 @@
 	return moves
 }
 
-// age is 0 only for a move whose plan may not have been given out.
+// age returns the age in milliseconds, 0 only for a move whose plan may not have
+// been published.
 func (m *Move) age(now time.Time) uint32 {
 	if m.unpublished {
 		return 0
@@ -118,11 +118,10 @@
 	return uint32(max(now.Sub(m.At).Milliseconds(), 1))
 }
 
-// loadMoves takes over what the last decider moved. A move is at least as old
-// as it was when the record was written; how long ago that was is not known,
-// so it counts as no older. The age is shortened by the margin for clock
-// rates. A plan that the last decider wrote and did not give out is given out
-// by this one, and its moves count from then.
+// loadMoves restores the moves of the previous decider. The time since the
+// record was written is unknown, so a move counts as only as old as it was then,
+// less the clock margin. Moves of a plan that was stored but not published count
+// from when this decider publishes it.
 func (l *Ledger) loadMoves(stored []*peerpb.LedgerMove, now time.Time) {
 	if l.params.Faults.DropMovesOnTakeover {
 		return
--- a/control/ledger/node.go
+++ b/control/ledger/node.go
@@ -7,50 +7,53 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Node is one life of a node as the ledger knows it.
+// Node is one incarnation of a node.
 type Node struct {
 	ID     grant.NodeID
 	Region model.RegionName
-	// Address is where the node takes messages from other nodes. Two lives
-	// with one VM identifier are on the same VM only if their addresses agree.
+	// Address is the node's peer address. Two incarnations with the same VM
+	// identifier are on the same VM only if their addresses are equal.
 	Address string
-	// ListSequence is the sequence of a VM list that showed the node, 0 for none.
+	// ListSequence is the sequence of the newest VM list that contained the node,
+	// 0 if none did.
 	ListSequence uint64
 }
 
-// nodeGrants is what one node may have in force.
+// nodeGrants tracks the amounts that one node may have in force. At all times,
+// for each key,
 //
 //	in force <= allowed <= reserved
 //
-// holds for each key at all times, and allowed <= the pending write too.
+// and allowed is also at most the amount in the pending write.
 type nodeGrants struct {
 	node Node
-	// reserved is what the store's ledger counts for the node.
+	// reserved holds the amounts in the stored ledger.
 	reserved []Amounts
-	// allowed bounds what may be sent.
+	// allowed bounds the amounts that may be issued.
 	allowed []Amounts
-	// next is what the pending write counts, if proposed; it is a buffer
-	// otherwise.
+	// next holds the amounts in the pending write if proposed is true and is
+	// scratch space otherwise.
 	next     []Amounts
 	proposed bool
-	// wanted is what the allocation asks for.
+	// wanted holds the amounts requested by the allocation.
 	wanted []Amounts
-	// latest is the content last sent, first in the set with sequence
-	// latestFrom. Its surplus ends at latestUntil.
+	// latest holds the amounts last issued, first in the set with sequence
+	// latestFirstSequence. Their surplus expires at latestUntil.
 	latest              []Amounts
 	latestFirstSequence uint64
 	latestUntil         time.Time
-	// older is the largest of all earlier contents that may still be in
-	// force because nothing later has been acknowledged.
+	// older holds the largest earlier amounts that may still be in force because
+	// nothing later has been acknowledged.
 	older      []Amounts
 	olderUntil time.Time
-	// firstContact and lastContact are when this decider firstContact and last lastContact the node.
+	// firstContact and lastContact are the times of the first and last contact
+	// with this decider.
 	firstContact, lastContact time.Time
-	// unlistedSince is since when the VM list does not show the node, lastUnlisted
-	// is the last reading that told so.
+	// unlistedSince and lastUnlisted are the times of the first and last
+	// consecutive readings of the VM list without the node.
 	unlistedSince, lastUnlisted time.Time
-	// leaving tells that the node is in a planned stop, stopped that it has
-	// closed its admission for good.
+	// leaving is true during a planned stop, stopped once the node has closed its
+	// admission permanently.
 	leaving, stopped bool
 }
 
@@ -88,8 +91,8 @@
 	return latest.max(older)
 }
 
-// supersedeLatest counts the latest content as one that may still be in force under a
-// new one.
+// supersedeLatest merges the latest amounts into older, before new ones are
+// issued.
 func (h *nodeGrants) supersedeLatest(now time.Time) {
 	for k := range h.older {
 		h.older[k] = h.inForce(k, now)
@@ -99,7 +102,6 @@
 	}
 }
 
-// clearInForce counts nothing in force any more.
 func (h *nodeGrants) clearInForce() {
 	clear(h.latest)
 	clear(h.older)
--- a/control/ledger/params.go
+++ b/control/ledger/params.go
@@ -8,28 +8,29 @@
 	"github.com/yuccaroute/yuccaroute/control/internal/fault"
 )
 
-// Params are the times of the protocol. All nodes must use the same ones.
+// Params holds the timing of the grant protocol. All nodes must use the same
+// values.
 type Params struct {
-	// SurplusTTL is how long a surplus is in force, counted by the holder
-	// from sending its request.
+	// SurplusTTL is how long a surplus is in force. The holder counts it from
+	// when it sent the request.
 	SurplusTTL time.Duration
-	// RemovalTime is how long a node must be unlisted and silent before its
-	// floors are given to others.
+	// RemovalTime is how long a node must be unlisted and unreachable before its
+	// floors are reassigned.
 	RemovalTime time.Duration
-	// LoanTTL is how long a loan between nodes is in force; it must be
-	// shorter than RemovalTime by more than the margin for clock rates.
+	// LoanTTL is how long a loan between nodes is in force. With the clock margin
+	// it must be shorter than RemovalTime.
 	LoanTTL time.Duration
-	// ClockMargin is the part by which one side waits longer than the other.
-	// Two clocks may differ in rate by at most this much.
+	// ClockMargin is the largest relative difference between the rates of two
+	// clocks; one side waits longer by this fraction.
 	ClockMargin float64
-	// ReductionInterval is how often lower amounts alone cause a write. Until then
-	// they are only known to the decider in office.
+	// ReductionInterval is how long lowered amounts may stay unwritten when
+	// nothing else requires a write.
 	ReductionInterval time.Duration
-	// Faults plants errors for the model check.
+	// Faults injects protocol errors in the model check.
 	Faults fault.Set
 }
 
-// The times in use unless the settings of a node say otherwise.
+// Defaults for settings that a node does not override.
 const (
 	DefaultSurplusTTL        = 15 * time.Second
 	DefaultRemovalTime       = 30 * time.Second
@@ -38,7 +39,7 @@
 	DefaultReductionInterval = 10 * time.Second
 )
 
-// DefaultParams returns the times in use.
+// DefaultParams returns the default timing.
 func DefaultParams() Params {
 	return Params{
 		SurplusTTL:        DefaultSurplusTTL,
@@ -49,8 +50,8 @@
 	}
 }
 
-// WithMargin returns how long this side waits until the other side, which counts d
-// on its own clock, has certainly counted to the end.
+// WithMargin returns how long to wait until d has certainly passed on another
+// node's clock.
 func (p Params) WithMargin(d time.Duration) time.Duration {
 	if p.Faults.NoClockMargin {
 		return d
@@ -65,15 +66,15 @@
 	return p.WithMargin(p.SurplusTTL)
 }
 
-// Check returns an error for times that would break the protocol.
+// Check returns an error for values that would break the protocol.
 func (p Params) Check() error {
 	switch {
 	case p.SurplusTTL <= 0 || p.RemovalTime <= 0 || p.LoanTTL <= 0:
-		return errors.New("ledger: a time is not positive")
+		return errors.New("ledger: surplus TTL, removal time and loan TTL must be positive")
 	case p.ClockMargin < 0 || p.ClockMargin >= 1:
-		return errors.New("ledger: the clock margin is not from 0 to 1")
+		return errors.New("ledger: clock margin must be at least 0 and less than 1")
 	case p.WithMargin(p.LoanTTL) >= p.RemovalTime:
-		return errors.New("ledger: a loan lasts as long as the removal time")
+		return errors.New("ledger: loan TTL plus clock margin must be less than the removal time")
 	}
 	return nil
 }
--- a/control/ledger/propose.go
+++ b/control/ledger/propose.go
@@ -6,21 +6,22 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// proposal is a write of which it is not known yet that it took effect. The
-// amounts it carries are the next of each holding that is proposed.
+// proposal is a write whose outcome is not known yet. It carries the next amounts
+// of each node that is marked as proposed.
 type proposal struct {
 	value   []byte
 	removed map[grant.NodeID]bool
-	// hasPlan and hasRelease tell what the write carries.
+	// hasPlan and hasRelease are true if the write carries a new plan or a
+	// release.
 	hasPlan, hasRelease bool
 }
 
-// Pending reports whether a write has been proposed and not been settled.
+// Pending reports whether the outcome of a proposed write is still unknown.
 func (l *Ledger) Pending() bool { return l.pending != nil }
 
-// Rewrite returns the first write of a decider: the ledger as it was read,
-// under the new epoch. After it no write of an earlier decider can succeed,
-// because each expects a revision that is gone.
+// Rewrite returns the first write of a decider: the ledger as loaded, with the
+// new epoch. It fences off earlier deciders, whose writes expect an older
+// revision.
 func (l *Ledger) Rewrite(now time.Time) []byte {
 	for _, h := range l.order {
 		copy(h.next, h.reserved)
@@ -28,27 +29,26 @@
 	return l.startWrite(nil, now)
 }
 
-// Propose works out what each node may have next and returns the bytes to
-// write, or nil when what the store holds covers it. A raise is given only out
-// of what is free after everything that may be in force has been counted, so
-// that under a capacity that was lowered below that there is no raise at all.
+// Propose computes the next amounts of each node and returns the record to
+// write, or nil if the stored one covers them. Raises come only out of capacity
+// not in force anywhere, so a capacity lowered below that allows none.
 func (l *Ledger) Propose(now time.Time) []byte {
 	if l.pending != nil {
 		return l.pending.value
 	}
-	gone := l.removableNodes(now)
-	room := l.headroom(now, gone)
+	removed := l.removableNodes(now)
+	room := l.headroom(now, removed)
 	covered := true
-	lower := len(gone) > 0
+	lower := len(removed) > 0
 	for _, h := range l.order {
-		l.computeNext(h, gone[h.node.ID], room, now)
+		l.computeNext(h, removed[h.node.ID], room, now)
 		for k, n := range h.next {
 			covered = covered && n.within(h.reserved[k])
 			lower = lower || n != h.reserved[k]
 		}
 	}
 	if !covered || l.writeDue(lower, now) {
-		return l.startWrite(gone, now)
+		return l.startWrite(removed, now)
 	}
 	for _, h := range l.order {
 		h.allowed, h.next = h.next, h.allowed
@@ -56,8 +56,7 @@
 	return nil
 }
 
-// writeDue reports whether a write is writeDue although the store's ledger covers all
-// amounts.
+// writeDue reports whether to write although the stored ledger covers all amounts.
 func (l *Ledger) writeDue(lower bool, now time.Time) bool {
 	if l.planUnsaved || l.releaseUnsaved {
 		return true
@@ -72,13 +71,14 @@
 	return !now.Before(l.reductionDue)
 }
 
-// startWrite makes the write. Until it is settled the smaller of the old and the
-// new amounts may be sent: the next decider will read one of the two.
-func (l *Ledger) startWrite(gone map[grant.NodeID]bool, now time.Time) []byte {
+// startWrite encodes the pending write. Until its outcome is known, only the
+// smaller of the old and new amounts may be issued, because the next decider may
+// read either.
+func (l *Ledger) startWrite(removed map[grant.NodeID]bool, now time.Time) []byte {
 	l.writeNumber++
 	l.pending = &proposal{
-		value:      l.encode(gone, now),
-		removed:    gone,
+		value:      l.encode(removed, now),
+		removed:    removed,
 		hasPlan:    l.planUnsaved,
 		hasRelease: l.releaseUnsaved,
 	}
@@ -96,7 +96,7 @@
 	return l.pending.value
 }
 
-// ConfirmWrite settles the pending write as taken effect.
+// ConfirmWrite records that the pending write took effect.
 func (l *Ledger) ConfirmWrite() {
 	p := l.pending
 	if p == nil {
@@ -110,7 +110,7 @@
 	l.removeNodes(p.removed)
 	for _, h := range l.order {
 		if !h.proposed {
-			// The node was added after the write was made.
+			// The node was added after the write was proposed.
 			continue
 		}
 		h.proposed = false
@@ -119,8 +119,8 @@
 	}
 }
 
-// DiscardWrite settles the pending write as one that did not happen and will
-// not. For a write with an unknown outcome that is wrong: it must be repeated.
+// DiscardWrite records that the pending write did not and will not take effect.
+// A write with an unknown outcome must be retried instead.
 func (l *Ledger) DiscardWrite() {
 	l.pending = nil
 	for _, h := range l.order {
--- a/control/ledger/record.go
+++ b/control/ledger/record.go
@@ -11,17 +11,17 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// ErrSuperseded tells that the stored ledger is of a newer epoch than the
-// reader's: another decider has taken over.
-var ErrSuperseded = errors.New("ledger: a newer decider has written")
+// ErrSuperseded means that the stored ledger has the reader's epoch or a newer
+// one: another decider has taken over.
+var ErrSuperseded = errors.New("ledger: superseded by a newer decider")
 
-// Stamp names one write of a ledger.
+// Stamp identifies one write of a ledger.
 type Stamp struct {
 	Epoch, Write uint64
 }
 
-// DecodeStamp reads the stamp of a stored ledger, by which the writer of a write
-// with a lost answer finds out whether it took effect.
+// DecodeStamp reads the stamp of a stored ledger. A writer that lost the
+// response compares it with its own to learn whether the write took effect.
 func DecodeStamp(value []byte) (Stamp, error) {
 	record, err := parse(value)
 	if err != nil {
@@ -30,18 +30,18 @@
 	return Stamp{Epoch: record.Epoch, Write: record.Write}, nil
 }
 
-// Stamp returns the stamp of the last write proposed.
+// Stamp returns the stamp of the last proposed write.
 func (l *Ledger) Stamp() Stamp { return Stamp{Epoch: l.epoch, Write: l.writeNumber} }
 
 func parse(value []byte) (*peerpb.LedgerRecord, error) {
 	record := &peerpb.LedgerRecord{}
 	if err := proto.Unmarshal(value, record); err != nil {
-		return nil, errors.Wrap(err, "ledger: stored record")
+		return nil, errors.Wrap(err, "ledger: decode stored record")
 	}
 	return record, nil
 }
 
-func (l *Ledger) encode(gone map[grant.NodeID]bool, now time.Time) []byte {
+func (l *Ledger) encode(removed map[grant.NodeID]bool, now time.Time) []byte {
 	record := &peerpb.LedgerRecord{
 		Epoch:          l.epoch,
 		Write:          l.writeNumber,
@@ -54,7 +54,7 @@
 	}
 	regions := make(map[model.RegionName]uint32)
 	for _, h := range l.order {
-		if gone[h.node.ID] {
+		if removed[h.node.ID] {
 			continue
 		}
 		record.Nodes = append(record.Nodes, encodeNode(h.node, h.next, regions, record))
@@ -62,8 +62,8 @@
 	record.Moves = l.encodeMoves(now)
 	value, err := proto.Marshal(record)
 	if err != nil {
-		// Only invalid UTF-8 in a name can cause this, and names are checked
-		// where they enter.
+		// Only invalid UTF-8 in a name causes an error, and names are validated
+		// on input.
 		return nil
 	}
 	return value
@@ -105,9 +105,9 @@
 	return n
 }
 
-// Load is the takeover of a stored ledger by a new decider at now. Every
-// surplus counts as in force for one full time to live from now, because the
-// last decider may have given it until the moment its lease ended.
+// Load decodes a stored ledger for a new decider that takes over at now. Every
+// surplus counts as in force for a full TTL from now, because the previous
+// decider may have issued it until the end of its lease.
 func Load(value []byte, params Params, epoch uint64, limits *Limits, now time.Time) (*Ledger, error) {
 	record, err := parse(value)
 	if err != nil {
@@ -124,7 +124,7 @@
 	l.SetLimits(limits)
 	for _, n := range record.Nodes {
 		if int(n.Region) >= len(record.Regions) {
-			return nil, errors.Errorf("ledger: node %s has no region", n.Vm)
+			return nil, errors.Errorf("ledger: node %s has an invalid region index", n.Vm)
 		}
 		l.loadNode(n, model.RegionName(record.Regions[n.Region]), now)
 	}
@@ -155,6 +155,6 @@
 	if l.params.Faults.DropSurplusOnTakeover {
 		h.olderUntil = now
 	}
-	// The node may have been heard by the last decider until just now.
+	// The previous decider may have had contact with the node until just now.
 	h.lastContact = now
 }
--- a/control/ledger/remove.go
+++ b/control/ledger/remove.go
@@ -6,32 +6,30 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// ListedVM is one entry VM as the VM list shows it.
+// ListedVM is an entry VM in the VM list.
 type ListedVM struct {
 	VM, Address string
 }
 
-// ObserveVMs takes in a reading of the VM list that was made at readAt. Sequence
-// must be above 0. Only a list at least as new as one that showed a node can
-// tell that it is gone: a decider whose list lags behind its predecessor's would
-// take a new VM for an ended one.
+// ObserveVMs records a VM list that was read at readAt; sequence must be positive.
+// A list older than one that contained a node does not count as evidence that
+// the node has ended: it may predate the VM.
 //
-// The time of the reading counts, not that of the call: while the list service
-// is out the same reading is offered again and again, and the VM may have
-// returned unseen.
+// The time of the reading counts, not that of the call: during an outage of the
+// list service the same reading is passed repeatedly, and the VM may be back.
 func (l *Ledger) ObserveVMs(list []ListedVM, sequence uint64, readAt time.Time) {
-	shown := make(map[ListedVM]bool, len(list))
+	listed := make(map[ListedVM]bool, len(list))
 	for _, v := range list {
-		shown[v] = true
+		listed[v] = true
 	}
 	for _, h := range l.order {
-		if shown[ListedVM{VM: h.node.ID.VM, Address: h.node.Address}] {
+		if listed[ListedVM{VM: h.node.ID.VM, Address: h.node.Address}] {
 			h.node.ListSequence = max(h.node.ListSequence, sequence)
 			h.unlistedSince = time.Time{}
 			continue
 		}
-		older := sequence < h.node.ListSequence && !l.params.Faults.TrustOldVMList
-		if older {
+		stale := sequence < h.node.ListSequence && !l.params.Faults.TrustOldVMList
+		if stale {
 			continue
 		}
 		if h.unlistedSince.IsZero() {
@@ -41,23 +39,23 @@
 	}
 }
 
-// removableNodes returns the nodes whose floors may be given to others.
+// removableNodes returns the nodes whose floors may be reassigned.
 func (l *Ledger) removableNodes(now time.Time) map[grant.NodeID]bool {
-	var gone map[grant.NodeID]bool
+	var removed map[grant.NodeID]bool
 	for _, h := range l.order {
 		if !l.canRemove(h, now) {
 			continue
 		}
-		if gone == nil {
-			gone = make(map[grant.NodeID]bool)
+		if removed == nil {
+			removed = make(map[grant.NodeID]bool)
 		}
-		gone[h.node.ID] = true
+		removed[h.node.ID] = true
 	}
-	return gone
+	return removed
 }
 
-// canRemove reports whether a node has certainly canRemove or holds nothing. Silence
-// alone proves nothing: a node that is cut off goes on with its floors.
+// canRemove reports whether a node has certainly ended or holds nothing. Lack of
+// contact alone is not enough: a partitioned node keeps using its floors.
 func (l *Ledger) canRemove(h *nodeGrants, now time.Time) bool {
 	if l.params.Faults.FreeUnreachableFloors {
 		return !now.Before(h.latestUntil) && !now.Before(h.olderUntil)
@@ -84,12 +82,11 @@
 	return true
 }
 
-// replacedOnSameVM reports whether another life of the same VM at the same address
-// has been heard for the removal time while this one was silent. The VM list
-// goes on to show the VM, so it can never tell that the first life ended, and
-// its floors would be lost for good. Both lives share the network of the VM,
-// so the silent one has ended or is not scheduled, and a process that was not
-// scheduled for so long drops its floors by itself.
+// replacedOnSameVM reports whether another incarnation on the same VM has been in
+// contact for the removal time while this one was not. The VM stays listed, so
+// the list can never show that this incarnation ended. Both share the VM's
+// network, so it has ended or is paused, and a process paused for that long
+// drops its floors.
 func (l *Ledger) replacedOnSameVM(h *nodeGrants, now time.Time, wait time.Duration) bool {
 	for _, o := range l.order {
 		if o == h || o.node.ID.VM != h.node.ID.VM || o.node.Address != h.node.Address {
