--- a/control/allocate/allocate.go
+++ b/control/allocate/allocate.go
@@ -1,9 +1,9 @@
-// Package allocate splits the capacity of one client account over its nodes.
-// It is pure. What it returns are wishes: the ledger gives them as far as what
-// is out already allows.
+// Package allocate divides the capacity of one client account among its nodes. It
+// has no state and does no I/O. It returns requested allocations, which the ledger
+// grants as far as the outstanding amounts allow.
 //
-// A node keeps what it has while that is enough and nobody else needs it, so
-// that steady demand causes no change, no message and no write.
+// A node keeps its allocation while that is sufficient and no other node needs
+// it, so steady demand causes no changes, messages or writes.
 package allocate
 
 import (
@@ -12,49 +12,49 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// Params weigh the split. All are shares from 0 to 1.
+// Params are the weights of the split, as fractions from 0 to 1.
 type Params struct {
-	// FloorShare is the largest part of a capacity given as floors, which
-	// stay through outages; the rest can be moved at any time.
+	// FloorShare is the largest part of a capacity allocated as floors, which
+	// remain during outages; the rest is surplus and can be reassigned.
 	FloorShare float64
-	// Unassigned is the part of a capacity left for new nodes.
+	// Unassigned is the part of a capacity reserved for new nodes.
 	Unassigned float64
-	// EvenShare is the part given to all nodes alike; it lets a node serve
-	// demand that it has not seen yet.
+	// EvenShare is the part divided evenly among all nodes, so that a node can
+	// serve demand it has not reported yet.
 	EvenShare float64
-	// RaiseThreshold is the part of its grant a node may use before it gets more.
+	// RaiseThreshold is the used part of a grant above which a node gets more.
 	RaiseThreshold float64
 }
 
-// DefaultParams returns the weights in use.
+// DefaultParams returns the default weights.
 func DefaultParams() Params {
 	return Params{FloorShare: 0.7, Unassigned: 0.05, EvenShare: 0.25, RaiseThreshold: 0.85}
 }
 
-// Node is what the split needs to know of one node. Slices are in the order
-// of the keys.
+// Node is the input of the split for one node. Slices are in the order of the
+// keys.
 type Node struct {
 	Region model.RegionName
-	// Demand is what the node would send, requests/s.
+	// Demand is the load that the node would send, in requests/s.
 	Demand []float64
-	// Current is what the node was last given as a wish, InForce what may be in
-	// force on it.
+	// Current is the node's last requested allocation, InForce the largest amounts
+	// that may be in force on it.
 	Current, InForce []ledger.Amounts
-	// Unreachable nodes cannot be told anything: what is in force stays.
+	// Unreachable nodes keep the amounts in force.
 	Unreachable bool
-	// Leaving nodes get only what they use.
+	// Leaving nodes get no even share, only a share by demand.
 	Leaving bool
 }
 
-// Split returns the wishes of all nodes, in the order of nodes and keys.
+// Split returns the requested allocations in the order of nodes and keys.
 func Split(limits *ledger.Limits, keys []ledger.Key, nodes []Node, p Params) [][]ledger.Amounts {
 	s := newSplit(limits, keys, nodes, p)
 	s.limitKeys()
 	s.limitRegions()
-	s.shareOut()
+	s.computeShares()
 	s.limitLinks()
 	s.chooseAll()
-	return s.wishes
+	return s.allocations
 }
 
 type split struct {
@@ -62,58 +62,58 @@
 	limits *ledger.Limits
 	keys   []ledger.Key
 	nodes  []Node
-	// to is the region of each key's place.
-	to []model.RegionName
-	// demand is the sum over nodes.
+	// keyRegion is the region of each key's place.
+	keyRegion []model.RegionName
+	// demand is the total demand by key.
 	demand []float64
-	// target is what all nodes together should have of each key, floors the
-	// largest sum of floors in it.
+	// target is the total to allocate of each key, floors the largest total of
+	// floors in it.
 	target, floors []float64
-	// share is what each node should have: nodes by keys.
+	// share is the ideal allocation by node and key.
 	share [][]float64
-	// even is the part of a share that does not depend on demand, by keys.
-	even   []float64
-	region map[model.RegionName]float64
-	link   map[model.RegionName]float64
-	wishes [][]ledger.Amounts
+	// evenShare is the part of a share that does not depend on demand, by key.
+	evenShare   []float64
+	region      map[model.RegionName]float64
+	link        map[model.RegionName]float64
+	allocations [][]ledger.Amounts
 }
 
 func newSplit(limits *ledger.Limits, keys []ledger.Key, nodes []Node, p Params) *split {
 	s := &split{
-		params: p,
-		limits: limits,
-		keys:   keys,
-		nodes:  nodes,
-		to:     make([]model.RegionName, len(keys)),
-		demand: make([]float64, len(keys)),
-		target: make([]float64, len(keys)),
-		floors: make([]float64, len(keys)),
-		share:  matrix[float64](len(nodes), len(keys)),
-		even:   make([]float64, len(keys)),
-		region: make(map[model.RegionName]float64),
-		link:   make(map[model.RegionName]float64),
-		wishes: matrix[ledger.Amounts](len(nodes), len(keys)),
+		params:      p,
+		limits:      limits,
+		keys:        keys,
+		nodes:       nodes,
+		keyRegion:   make([]model.RegionName, len(keys)),
+		demand:      make([]float64, len(keys)),
+		target:      make([]float64, len(keys)),
+		floors:      make([]float64, len(keys)),
+		share:       matrix[float64](len(nodes), len(keys)),
+		evenShare:   make([]float64, len(keys)),
+		region:      make(map[model.RegionName]float64),
+		link:        make(map[model.RegionName]float64),
+		allocations: matrix[ledger.Amounts](len(nodes), len(keys)),
 	}
 	for k, key := range keys {
-		s.to[k] = limits.RegionOf(key.Place)
+		s.keyRegion[k] = limits.RegionOf(key.Place)
 	}
 	return s
 }
 
-// limitKeys sets the target of each key to its capacity, less what is left
-// unassigned and what silent nodes hold.
+// limitKeys sets the target of each key to its capacity, less the unassigned part
+// and the amounts in force on unreachable nodes.
 func (s *split) limitKeys() {
 	usable := 1 - s.params.Unassigned
 	for k, key := range s.keys {
 		capacity := float64(s.limits.Capacity(key))
 		s.target[k] = capacity * usable
 		s.floors[k] = capacity * s.params.FloorShare
-		limit := s.limits.Region(s.to[k])
-		s.region[s.to[k]] = float64(limit.Capacity) * usable
-		s.link[s.to[k]] = float64(limit.LinkIn) * usable
+		limit := s.limits.Region(s.keyRegion[k])
+		s.region[s.keyRegion[k]] = float64(limit.Capacity) * usable
+		s.link[s.keyRegion[k]] = float64(limit.LinkIn) * usable
 	}
 	for i := range s.nodes {
-		s.countNode(&s.nodes[i])
+		s.addNode(&s.nodes[i])
 	}
 	for k := range s.keys {
 		s.target[k] = max(s.target[k], 0)
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s *split) countNode(n *Node) {
+func (s *split) addNode(n *Node) {
 	for k := range s.keys {
 		if !n.Unreachable {
 			s.demand[k] += n.Demand[k]
@@ -130,36 +130,36 @@
 		held := float64(n.InForce[k].Total())
 		s.target[k] -= held
 		s.floors[k] -= float64(n.InForce[k].Floor)
-		s.region[s.to[k]] -= held
-		if n.Region != s.to[k] {
-			s.link[s.to[k]] -= held
+		s.region[s.keyRegion[k]] -= held
+		if n.Region != s.keyRegion[k] {
+			s.link[s.keyRegion[k]] -= held
 		}
 	}
 }
 
-// limitRegions brings the sum of the targets in a region under its capacity,
-// in proportion to demand and a little to capacity.
+// limitRegions reduces the targets in a region to its capacity, weighted by demand
+// and, slightly, by the capacity of each key.
 func (s *split) limitRegions() {
 	for name, capacity := range s.region {
 		var members []int
 		sum := 0.0
 		for k := range s.keys {
-			if s.to[k] == name {
+			if s.keyRegion[k] == name {
 				members = append(members, k)
 				sum += s.target[k]
 			}
 		}
 		if sum > capacity {
-			s.fill(members, max(capacity, 0))
+			s.fillTargets(members, max(capacity, 0))
 		}
 	}
 }
 
-// capacityWeight is how much a key's capacity weighs beside its demand.
+// capacityWeight is the weight of a key's capacity relative to its demand.
 const capacityWeight = 0.1
 
-// fill gives the members a sum of at most total, none more than its target.
-func (s *split) fill(members []int, total float64) {
+// fillTargets divides total among the members, none above its previous target.
+func (s *split) fillTargets(members []int, total float64) {
 	limit := make(map[int]float64, len(members))
 	weight := make(map[int]float64, len(members))
 	for _, k := range members {
@@ -180,17 +180,17 @@
 	}
 }
 
-// fillRound gives each open member its part of the total; those that reach
-// their limit leave, and what they could not take is shared in the next round.
+// fillRound gives each open member its part of the total. It returns the members
+// below their limit and the excess of the others, for the next round.
 func (s *split) fillRound(open []int, limit, weight map[int]float64, total, sum float64) ([]int, float64) {
 	var still []int
-	rest := 0.0
+	excess := 0.0
 	for _, k := range open {
 		part := total * weight[k] / sum
-		room := limit[k] - s.target[k]
-		if part >= room {
+		headroom := limit[k] - s.target[k]
+		if part >= headroom {
 			s.target[k] = limit[k]
-			rest += part - room
+			excess += part - headroom
 			continue
 		}
 		s.target[k] += part
@@ -199,21 +199,16 @@
 	if len(still) == len(open) {
 		return nil, 0
 	}
-	return still, rest
+	return still, excess
 }
 
-// hardlyUsed is the part of a key's target up to which demand has no say in the
-// split.
-//
-// Guard against a split by what is left of an average: callers of one node come and
-// go before others have any, and its part of the demand stays all of it, however
-// little that is. It shows as a node that holds three quarters of an idle capacity;
-// the callers of the others wait when they come. The guard holds because all nodes
-// are brought to the even part while there is hardly any demand.
-const hardlyUsed = 0.05
+// idleDemandFraction is the part of a key's target up to which the split ignores
+// demand. Otherwise the decaying average of one node's past callers, as the only
+// demand left, would give that node most of an idle capacity.
+const idleDemandFraction = 0.05
 
-// shareOut splits the target of each key over the nodes that can be reached.
-func (s *split) shareOut() {
+// computeShares divides the target of each key among the reachable nodes.
+func (s *split) computeShares() {
 	reachable := 0
 	for i := range s.nodes {
 		if !s.nodes[i].Unreachable && !s.nodes[i].Leaving {
@@ -222,7 +217,7 @@
 	}
 	for k := range s.keys {
 		even := s.params.EvenShare
-		if s.demand[k]*float64(grant.PerRequest) <= hardlyUsed*s.target[k] {
+		if s.demand[k]*float64(grant.PerRequest) <= idleDemandFraction*s.target[k] {
 			even = 1
 		}
 		for i := range s.nodes {
@@ -233,7 +228,7 @@
 			part := 0.0
 			if !n.Leaving {
 				part = even / float64(reachable)
-				s.even[k] = part * s.target[k]
+				s.evenShare[k] = part * s.target[k]
 			}
 			if s.demand[k] > 0 {
 				part += (1 - even) * n.Demand[k] / s.demand[k]
@@ -243,8 +238,8 @@
 	}
 }
 
-// limitLinks brings what nodes of other regions may send into a region under
-// its link and gives the rest to the nodes inside.
+// limitLinks reduces the shares of nodes outside a region to the capacity of its
+// link and moves the excess to the nodes inside.
 func (s *split) limitLinks() {
 	for name, limit := range s.link {
 		s.limitLink(name, max(limit, 0))
@@ -258,7 +253,7 @@
 			continue
 		}
 		for k := range s.keys {
-			if s.to[k] == name {
+			if s.keyRegion[k] == name {
 				outside += s.share[i][k]
 			}
 		}
@@ -267,7 +262,7 @@
 		return
 	}
 	for k := range s.keys {
-		if s.to[k] == name {
+		if s.keyRegion[k] == name {
 			s.moveInside(k, limit/outside)
 		}
 	}
@@ -277,7 +272,7 @@
 	freed := 0.0
 	inside := 0.0
 	for i := range s.nodes {
-		if s.nodes[i].Region == s.to[k] {
+		if s.nodes[i].Region == s.keyRegion[k] {
 			inside += s.share[i][k]
 			continue
 		}
@@ -288,7 +283,7 @@
 		return
 	}
 	for i := range s.nodes {
-		if s.nodes[i].Region == s.to[k] {
+		if s.nodes[i].Region == s.keyRegion[k] {
 			s.share[i][k] *= 1 + freed/inside
 		}
 	}
--- a/control/allocate/choose.go
+++ b/control/allocate/choose.go
@@ -6,66 +6,61 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// tooLittle is the part of its share below which a node gets more before it
-// uses all it has: it is new, or has lost most of it.
-const tooLittle = 0.5
-
-// atRest is the part of its grant that a node may use and still leave the rest
-// to others.
-//
-// Guard against grants that follow the order of reports: of nodes whose callers
-// come at the same time the first one to report is the only one with demand,
-// and its share is nearly all there is. Raised to that, it took from the others
-// what they were about to need, and their callers waited for two seconds. A node
-// with this much room gets more only of what nobody has.
-const atRest = 0.4
-
-// nearShare is the part of its share up to which a node is given what nobody has.
-const nearShare = 0.8
-
-// leastRaise is the part of what a node has that a raise must be worth: each
-// costs a write of the ledger.
-const leastRaise = 0.05
-
-// chooseAll decides for each node and key whether it keeps what it has.
+// minShareFraction is the part of its share below which a node is raised before it
+// uses up its grant: it is new, or has lost most of its grant.
+const minShareFraction = 0.5
+
+// lowUseFraction is the used part of a grant up to which a node is raised only from
+// unallocated capacity. Otherwise, when callers reach all nodes at once, the first
+// node to report would take the grants that the others are about to need.
+const lowUseFraction = 0.4
+
+// nearShareFraction is the part of its share up to which a node is raised from
+// unallocated capacity.
+const nearShareFraction = 0.8
+
+// minRaiseFraction is the smallest raise relative to the current grant, because
+// each raise costs a write of the ledger.
+const minRaiseFraction = 0.05
+
+// chooseAll sets the allocation of each node and key, unchanged where possible.
 func (s *split) chooseAll() {
 	for i := range s.nodes {
 		for k := range s.keys {
-			s.wishes[i][k] = s.choose(i, k)
+			s.allocations[i][k] = s.choose(i, k)
 		}
 	}
-	s.relieve()
-	s.fillFree()
+	s.lowerOverLimits()
+	s.distributeSpare()
 }
 
 func (s *split) choose(i, k int) ledger.Amounts {
 	n := &s.nodes[i]
-	have := n.Current[k]
+	current := n.Current[k]
 	if n.Unreachable {
-		return ledger.Amounts{Floor: have.Floor}
+		return ledger.Amounts{Floor: current.Floor}
 	}
-	share := s.amounts(i, k)
-	total := float64(have.Total())
+	share := s.shareAmounts(i, k)
+	total := float64(current.Total())
 	wanted := float64(share.Total())
 	if wanted <= total {
 		if n.Leaving || s.target[k] <= 0 {
 			return share
 		}
-		return have
+		return current
 	}
 	used := n.Demand[k] * float64(grant.PerRequest)
-	short := used > total*s.params.RaiseThreshold && wanted > total*(1+leastRaise)
-	filling := used > total*atRest && total < wanted*tooLittle
-	if short || filling || total < min(wanted, s.even[k])*tooLittle {
+	short := used > total*s.params.RaiseThreshold && wanted > total*(1+minRaiseFraction)
+	filling := used > total*lowUseFraction && total < wanted*minShareFraction
+	if short || filling || total < min(wanted, s.evenShare[k])*minShareFraction {
 		return share
 	}
-	return have
+	return current
 }
 
-// amounts divides a node's share into floor and surplus.
-func (s *split) amounts(i, k int) ledger.Amounts { return s.divide(s.share[i][k], k) }
+func (s *split) shareAmounts(i, k int) ledger.Amounts { return s.splitFloorSurplus(s.share[i][k], k) }
 
-func (s *split) divide(share float64, k int) ledger.Amounts {
+func (s *split) splitFloorSurplus(share float64, k int) ledger.Amounts {
 	part := s.params.FloorShare
 	if s.target[k] > 0 {
 		part = min(part, s.floors[k]/s.target[k])
@@ -74,12 +69,12 @@
 	return ledger.Amounts{Floor: floor, Surplus: grant.Amount(share) - min(floor, grant.Amount(share))}
 }
 
-// relieve lowers the nodes that have more than their share wherever the sum
-// of the wishes passes what there is.
-func (s *split) relieve() {
+// lowerOverLimits lowers nodes above their share wherever the allocations exceed a
+// limit.
+func (s *split) lowerOverLimits() {
 	for k := range s.keys {
 		if s.sumKey(k) > s.target[k] {
-			s.lower(k, func(*Node) bool { return true })
+			s.lowerToShare(k, func(*Node) bool { return true })
 		}
 	}
 	for name := range s.region {
@@ -97,7 +92,7 @@
 	sum := 0.0
 	for i := range s.nodes {
 		if !s.nodes[i].Unreachable {
-			sum += float64(s.wishes[i][k].Total())
+			sum += float64(s.allocations[i][k].Total())
 		}
 	}
 	return sum
@@ -109,10 +104,10 @@
 			continue
 		}
 		for k := range s.keys {
-			if s.to[k] != name {
+			if s.keyRegion[k] != name {
 				continue
 			}
-			total := float64(s.wishes[i][k].Total())
+			total := float64(s.allocations[i][k].Total())
 			inside += total
 			if s.nodes[i].Region != name {
 				entering += total
@@ -124,86 +119,86 @@
 
 func (s *split) lowerRegion(name model.RegionName, of func(*Node) bool) {
 	for k := range s.keys {
-		if s.to[k] == name {
-			s.lower(k, of)
+		if s.keyRegion[k] == name {
+			s.lowerToShare(k, of)
 		}
 	}
 }
 
-func (s *split) lower(k int, of func(*Node) bool) {
+func (s *split) lowerToShare(k int, of func(*Node) bool) {
 	for i := range s.nodes {
 		n := &s.nodes[i]
 		if n.Unreachable || !of(n) {
 			continue
 		}
-		share := s.amounts(i, k)
-		if s.wishes[i][k].Total() > share.Total() {
-			s.wishes[i][k] = share
+		share := s.shareAmounts(i, k)
+		if s.allocations[i][k].Total() > share.Total() {
+			s.allocations[i][k] = share
 		}
 	}
 }
 
-// fillFree gives nodes that have less than their share, but room for now, more
-// of what is in no wish. Nobody is lowered for it.
-func (s *split) fillFree() {
+// distributeSpare raises nodes below their share from unallocated capacity, without
+// lowering others.
+func (s *split) distributeSpare() {
 	spare := make([]float64, len(s.keys))
 	for k := range s.keys {
-		spare[k] = s.target[k] - s.takeWishes(k)
+		spare[k] = s.target[k] - s.subtractAllocations(k)
 	}
 	for k := range s.keys {
-		s.fillKey(k, spare[k])
+		s.distributeKey(k, spare[k])
 	}
 }
 
-// takeWishes takes the wishes for a key from what there is of its region and of
-// the link into it, and returns their sum.
-func (s *split) takeWishes(k int) (sum float64) {
+// subtractAllocations subtracts the allocations of a key from the limits of its
+// region and of the link into it, and returns their sum.
+func (s *split) subtractAllocations(k int) (sum float64) {
 	entering := 0.0
 	for i := range s.nodes {
 		if s.nodes[i].Unreachable {
 			continue
 		}
-		total := float64(s.wishes[i][k].Total())
+		total := float64(s.allocations[i][k].Total())
 		sum += total
-		if s.nodes[i].Region != s.to[k] {
+		if s.nodes[i].Region != s.keyRegion[k] {
 			entering += total
 		}
 	}
-	s.region[s.to[k]] -= sum
-	s.link[s.to[k]] -= entering
+	s.region[s.keyRegion[k]] -= sum
+	s.link[s.keyRegion[k]] -= entering
 	return sum
 }
 
-func (s *split) fillKey(k int, spare float64) {
-	region := s.to[k]
+func (s *split) distributeKey(k int, spare float64) {
+	region := s.keyRegion[k]
 	left, link := min(spare, s.region[region]), s.link[region]
 	for i := range s.nodes {
-		room := left
+		limit := left
 		if s.nodes[i].Region != region {
-			room = min(room, link)
+			limit = min(limit, link)
 		}
-		given := s.fillNode(i, k, room)
-		left -= given
-		s.region[region] -= given
+		raise := s.raiseNode(i, k, limit)
+		left -= raise
+		s.region[region] -= raise
 		if s.nodes[i].Region != region {
-			link -= given
+			link -= raise
 		}
 	}
 	s.link[region] = link
 }
 
-// fillNode raises a wish towards the node's share by at most room and returns
-// by how much.
-func (s *split) fillNode(i, k int, room float64) float64 {
-	total := float64(s.wishes[i][k].Total())
+// raiseNode raises an allocation towards the node's share by at most limit and
+// returns the raise.
+func (s *split) raiseNode(i, k int, limit float64) float64 {
+	total := float64(s.allocations[i][k].Total())
 	share := s.share[i][k]
-	if s.nodes[i].Unreachable || s.nodes[i].Leaving || total >= share*nearShare {
+	if s.nodes[i].Unreachable || s.nodes[i].Leaving || total >= share*nearShareFraction {
 		return 0
 	}
-	given := min(share-total, room)
-	if given <= total*leastRaise || given < float64(grant.PerRequest) {
+	raise := min(share-total, limit)
+	if raise <= total*minRaiseFraction || raise < float64(grant.PerRequest) {
 		return 0
 	}
-	s.wishes[i][k] = s.divide(total+given, k)
-	return given
+	s.allocations[i][k] = s.splitFloorSurplus(total+raise, k)
+	return raise
 }
