--- a/control/account.go
+++ b/control/account.go
@@ -19,7 +19,7 @@
 	"github.com/yuccaroute/yuccaroute/store/lease"
 )
 
-// account is the control work of one client account on this node.
+// account runs the control work of one client account on this node.
 type account struct {
 	system     *System
 	name       model.AccountName
@@ -27,21 +27,22 @@
 	campaign   *campaign.Campaign
 	decider    *decider.Runner
 	holder     *holder.Runner
-	// without is since when this node works for the account.
-	without time.Time
-	// measured is what was measured since the last regular report; only Run
+	// createdAt is when this node began to work for the account.
+	createdAt time.Time
+	// unreported holds the measurements since the last regular report; only Run
 	// uses it.
-	measured observe.Report
-	// announced is the epoch whose address was published last.
-	announced uint64
-	// relieved is when the decider last decided out of turn; only Run uses it.
-	relieved time.Time
+	unreported observe.Report
+	// publishedEpoch is the epoch for which this node last published its address.
+	publishedEpoch uint64
+	// lastReallocation is the time of the last reallocation out of turn; only Run
+	// uses it.
+	lastReallocation time.Time
 	// stepping is true while a step runs, stopped after Stop.
 	stepping, stopped atomic.Bool
 }
 
 func newAccount(s *System, name model.AccountName) *account {
-	a := &account{system: s, name: name, without: s.options.Clock()}
+	a := &account{system: s, name: name, createdAt: s.options.Clock()}
 	a.campaign = campaign.New(campaign.NewElection(lease.Options{
 		KV:    s.options.Store,
 		Key:   deciderKey(name),
@@ -66,10 +67,10 @@
 		KV:                  o.Store,
 		Lease:               a.campaign,
 		Configured:          a.configured.Load,
-		VMList:              a.system.listed,
+		VMList:              a.system.listedVMs,
 		Publish:             a.publishPlan,
-		HastenNode:          a.hasten,
-		RequestReallocation: a.hurry,
+		HastenNode:          a.hastenNode,
+		RequestReallocation: a.requestReallocation,
 		Clock:               o.Clock,
 		Logger:              o.Logger,
 		CallTimeout:         decider.DefaultCallTimeout,
@@ -94,7 +95,7 @@
 
 		Relays:        a.system.relays.members,
 		RelayMinFleet: o.RelayMinFleet,
-		SendViaRelay:  a.system.pass,
+		SendViaRelay:  a.system.sendViaRelay,
 
 		Apply:  o.ApplyGrants,
 		Clock:  o.Clock,
@@ -102,8 +103,8 @@
 	}
 }
 
-// deciderRef returns this node itself as soon as it decides, before the
-// address has gone round.
+// deciderRef returns the decider. This node counts as the decider as soon as it
+// holds the lease, before its address has been published.
 func (a *account) deciderRef() (ref *peerpb.NodeRef, epoch uint64, ok bool) {
 	if epoch, held := a.campaign.Held(); held {
 		return a.system.options.Ref, epoch, true
@@ -111,20 +112,20 @@
 	return a.system.options.DeciderOf(a.name)
 }
 
-// step does the decider's work due now.
+// step runs the decider work that is due.
 func (a *account) step(ctx context.Context) {
 	o := &a.system.options
 	rank := campaign.Rank(a.name, o.Node.VM, a.system.candidates())
-	due := !o.Leaving() && !a.stopped.Load() && campaign.ShouldCampaign(rank, a.withoutDecider())
+	due := !o.Leaving() && !a.stopped.Load() && campaign.ShouldCampaign(rank, a.timeWithoutDecider())
 	if err := a.campaign.Step(ctx, due); err != nil {
 		o.Logger.WithError(err).Error("control: cannot campaign")
 	}
-	a.announce()
-	a.resignOn(ctx, a.decider.Step(ctx))
+	a.publishAddress()
+	a.resignOnError(ctx, a.decider.Step(ctx))
 }
 
-// resignOn gives the lease up if the term is over.
-func (a *account) resignOn(ctx context.Context, err error) {
+// resignOnError resigns the lease if a decider step has returned an error.
+func (a *account) resignOnError(ctx context.Context, err error) {
 	if err == nil {
 		return
 	}
@@ -132,20 +133,20 @@
 	_ = a.campaign.Resign(ctx)
 }
 
-// hurry asks for a decision out of turn. If the request is dropped the next step
-// serves the nodes that wait.
-func (a *account) hurry() {
+// requestReallocation requests a reallocation out of turn. If the queue is full, the
+// next step serves the waiting nodes.
+func (a *account) requestReallocation() {
 	select {
-	case a.system.hurried <- a:
+	case a.system.reallocations <- a:
 	default:
 	}
 }
 
-// hastenTimeout bounds a request to report; a lost one is repeated.
+// hastenTimeout bounds a request to report. The decider repeats lost requests.
 const hastenTimeout = time.Second
 
-// hasten asks a node to report, without waiting for it.
-func (a *account) hasten(node ledger.Node, epoch uint64) {
+// hastenNode asks a node to report, without waiting for the response.
+func (a *account) hastenNode(node ledger.Node, epoch uint64) {
 	s := a.system
 	s.running.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), hastenTimeout)
@@ -160,60 +161,59 @@
 }
 
 const (
-	// relieveEvery is the shortest time between two decisions out of turn, so
-	// that an account writes its ledger at most twice in a second, and once a
-	// second in the mean of longer times plus once for each step.
-	relieveEvery = time.Second
-	// gather is how long a decision out of turn waits for the reports of other
-	// nodes that are short for the same reason.
-	gather = 50 * time.Millisecond
+	// minReallocationInterval is the shortest time between two reallocations out of
+	// turn. It limits the ledger writes that shortages cause.
+	minReallocationInterval = time.Second
+	// reallocationDelay lets reports of other nodes with the same shortage arrive
+	// before a reallocation.
+	reallocationDelay = 50 * time.Millisecond
 )
 
-// relieve decides out of turn.
-func (a *account) relieve(ctx context.Context) {
+// reallocate runs a reallocation out of turn.
+func (a *account) reallocate(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(gather):
+	case <-time.After(reallocationDelay):
 	}
-	a.resignOn(ctx, a.decider.Reallocate(ctx))
+	a.resignOnError(ctx, a.decider.Reallocate(ctx))
 }
 
-// stop hands back the grants, to this node itself if it decides, and then the
-// lease.
+// stop releases the grants and then the lease. The order matters if this node is
+// the decider.
 func (a *account) stop(ctx context.Context) {
 	a.stopped.Store(true)
 	a.holder.Stop(ctx)
-	a.lastStep(ctx)
+	a.finalStep(ctx)
 	if err := a.campaign.Resign(ctx); err != nil {
-		a.system.options.Logger.WithError(err).Info("control: could not give back a lease, it will lapse")
+		a.system.options.Logger.WithError(err).Info("control: could not release the lease, it will expire")
 	}
 }
 
-// lastStep writes what the node's own stop has freed, when it decides itself:
-// the next decider would have to wait for the removal time otherwise.
-func (a *account) lastStep(ctx context.Context) {
+// finalStep writes the grants released by the node's own stop if it is the decider;
+// otherwise the next decider would wait for the removal time.
+func (a *account) finalStep(ctx context.Context) {
 	for !a.stepping.CompareAndSwap(false, true) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(stepPoll):
+		case <-time.After(stepPollInterval):
 		}
 	}
 	defer a.stepping.Store(false)
 	_ = a.decider.Step(ctx)
 }
 
-// stepPoll is how often a stopping node looks whether a step has ended.
-const stepPoll = 10 * time.Millisecond
+// stepPollInterval is how often a stopping node checks whether a step has ended.
+const stepPollInterval = 10 * time.Millisecond
 
-// withoutDecider is how long no decider has answered, 0 while the last report was
-// answered: a node at rest does not ask for long.
-func (a *account) withoutDecider() time.Duration {
+// timeWithoutDecider returns how long no decider has answered, 0 if the last report
+// was answered: a node with steady demand reports rarely.
+func (a *account) timeWithoutDecider() time.Duration {
 	status := a.holder.Status()
 	switch {
 	case status.Heard.IsZero():
-		return a.system.options.Clock().Sub(a.without)
+		return a.system.options.Clock().Sub(a.createdAt)
 	case status.Unanswered.IsZero():
 		return 0
 	default:
@@ -221,13 +221,13 @@
 	}
 }
 
-// announce publishes the address of this node once in each term.
-func (a *account) announce() {
+// publishAddress publishes this node as the decider, once per term.
+func (a *account) publishAddress() {
 	epoch, held := a.campaign.Held()
-	if !held || epoch == a.announced {
+	if !held || epoch == a.publishedEpoch {
 		return
 	}
-	a.announced = epoch
+	a.publishedEpoch = epoch
 	a.system.options.Publish(deciderKey(a.name), epoch, 1, a.system.refBody)
 }
 
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -24,12 +24,12 @@
 	"github.com/yuccaroute/yuccaroute/store/memkv"
 )
 
-// fleet is a handful of whole control parts over one store, with direct calls
-// in place of the network. It runs in the time of a synctest bubble.
+// fleet runs the control systems of several nodes over one store, with direct calls
+// instead of a network, in a synctest bubble.
 type fleet struct {
 	t     *testing.T
 	store *faultkv.Store
-	nodes []*member
+	nodes []*fleetNode
 
 	mu      sync.Mutex
 	account *model.Account
@@ -39,13 +39,13 @@
 	calls   int
 	bytes   int
 	plans   int
-	// relayFrom is from how many nodes on reports go by relay.
-	relayFrom int
-	answered  map[string]int
+	// relayMinFleet is passed to Options.RelayMinFleet.
+	relayMinFleet int
+	answered      map[string]int
 }
 
-// member is one node of a fleet.
-type member struct {
+// fleetNode is one node of a fleet.
+type fleetNode struct {
 	fleet  *fleet
 	system *System
 	server *server
@@ -56,18 +56,18 @@
 
 	mu  sync.Mutex
 	set *grant.Set
-	// offered is the demand in front of the node, requests/s; arrived counts
-	// what came since the last report, up to counted.
+	// offered is the demand on the node in requests/s; arrived is the number of
+	// requests since the last report, up to the time counted.
 	offered, arrived float64
 	counted          time.Time
-	// reportedRPS is the demand in the last report that was answered.
+	// reportedRPS is the demand in the last answered report.
 	reportedRPS float64
 	down        bool
-	// cut takes the node off the network, but not off the store; paused makes calls
-	// to it wait.
+	// cut disconnects the node from other nodes but not from the store; paused blocks
+	// calls to it.
 	cut, paused bool
-	// frozen is the decider the node knows, nil for the present one.
-	frozen func() (*peerpb.NodeRef, uint64, bool)
+	// fixedDecider returns the decider that the node knows, nil for the current one.
+	fixedDecider func() (*peerpb.NodeRef, uint64, bool)
 }
 
 func fleetAccount() *model.Account {
@@ -87,14 +87,14 @@
 
 func newFleet(t *testing.T, size int) *fleet { return newRelayFleet(t, size, 0) }
 
-// newRelayFleet returns a fleet whose reports go by relay from a number of nodes on.
+// newRelayFleet returns a fleet with the given minimum size for relays.
 func newRelayFleet(t *testing.T, size, from int) *fleet {
 	f := &fleet{
-		relayFrom: from,
-		t:         t,
-		store:     faultkv.New(memkv.New(memkv.Options{}), nil),
-		account:   fleetAccount(),
-		answered:  make(map[string]int),
+		relayMinFleet: from,
+		t:             t,
+		store:         faultkv.New(memkv.New(memkv.Options{}), nil),
+		account:       fleetAccount(),
+		answered:      make(map[string]int),
 	}
 	for i := range size {
 		f.add(fmt.Sprintf("vm%d", i), i+1, 1)
@@ -103,7 +103,7 @@
 }
 
 // add starts a node on a VM.
-func (f *fleet) add(vm string, number int, incarnation uint64) *member {
+func (f *fleet) add(vm string, number int, incarnation uint64) *fleetNode {
 	region := f.account.Regions[number%2].Name
 	peer := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 7100)
 	f.mu.Lock()
@@ -112,7 +112,7 @@
 		f.list.Sequence++
 	}
 	f.mu.Unlock()
-	m := &member{
+	m := &fleetNode{
 		fleet:   f,
 		ref:     &peerpb.NodeRef{Vm: vm, Incarnation: incarnation, PeerAddress: peer.String(), Region: string(region)},
 		done:    make(chan struct{}),
@@ -138,7 +138,7 @@
 	return m
 }
 
-func (m *member) options() Options {
+func (m *fleetNode) options() Options {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return Options{
@@ -154,7 +154,7 @@
 		DeciderOf:   m.deciderOf,
 		Logger:      logger,
 
-		RelayMinFleet: m.fleet.relayFrom,
+		RelayMinFleet: m.fleet.relayMinFleet,
 	}
 }
 
@@ -170,7 +170,7 @@
 	return f.list, 0, true
 }
 
-// unlist takes a VM out of the list.
+// unlist removes a VM from the VM list.
 func (f *fleet) unlist(vm string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,10 +205,10 @@
 	return f.decider, f.epoch, f.decider != nil
 }
 
-func (m *member) reports(interval time.Duration) []observe.Report {
+func (m *fleetNode) reports(interval time.Duration) []observe.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.count()
+	m.countArrivals()
 	rate := m.offered
 	if interval > 0 {
 		rate = m.arrived / interval.Seconds()
@@ -228,29 +228,29 @@
 	return []observe.Report{r}
 }
 
-// count adds what has arrived since it was called last; it needs mu.
-func (m *member) count() {
+// countArrivals adds the arrivals since its last call. The caller holds mu.
+func (m *fleetNode) countArrivals() {
 	now := time.Now()
 	m.arrived += m.offered * now.Sub(m.counted).Seconds()
 	m.counted = now
 }
 
-// ask sets the demand in front of the node.
-func (m *member) ask(rps float64) {
+// setDemand sets the demand on the node.
+func (m *fleetNode) setDemand(rps float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.count()
+	m.countArrivals()
 	m.offered = rps
 }
 
-func (m *member) apply(set *grant.Set) {
+func (m *fleetNode) apply(set *grant.Set) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.set = set
 }
 
-// permitted is the sum over the places of what the node may send now.
-func (m *member) permitted() grant.Amount {
+// permitted returns the permitted load of the node, summed over the places.
+func (m *fleetNode) permitted() grant.Amount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.set == nil || m.down {
@@ -263,8 +263,8 @@
 	return sum
 }
 
-// kill ends a node without a word.
-func (m *member) kill() {
+// kill stops a node without releasing its grants.
+func (m *fleetNode) kill() {
 	m.mu.Lock()
 	m.down = true
 	m.mu.Unlock()
@@ -280,55 +280,55 @@
 	}
 }
 
-func (m *member) isDown() bool {
+func (m *fleetNode) isDown() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.down
 }
 
-func (m *member) isCut() bool {
+func (m *fleetNode) isCut() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.cut
 }
 
-func (m *member) isPaused() bool {
+func (m *fleetNode) isPaused() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.paused
 }
 
-func (m *member) pause() {
+func (m *fleetNode) pause() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.paused = true
 }
 
-// freezeDecider lets the node know no later decider than the present one.
-func (m *member) freezeDecider() {
+// fixDecider stops the node from learning of later deciders.
+func (m *fleetNode) fixDecider() {
 	ref, epoch, ok := m.fleet.deciderOf("daehan")
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.frozen = func() (*peerpb.NodeRef, uint64, bool) { return ref, epoch, ok }
+	m.fixedDecider = func() (*peerpb.NodeRef, uint64, bool) { return ref, epoch, ok }
 }
 
-func (m *member) deciderOf(name model.AccountName) (*peerpb.NodeRef, uint64, bool) {
+func (m *fleetNode) deciderOf(name model.AccountName) (*peerpb.NodeRef, uint64, bool) {
 	m.mu.Lock()
-	frozen := m.frozen
+	fixed := m.fixedDecider
 	m.mu.Unlock()
-	if frozen != nil {
-		return frozen()
+	if fixed != nil {
+		return fixed()
 	}
 	return m.fleet.deciderOf(name)
 }
 
-func (m *member) setCut(cut bool) {
+func (m *fleetNode) setCut(cut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cut = cut
 }
 
-// check sums what all live nodes may send.
+// check verifies the limits for the permitted load of all live nodes.
 func (f *fleet) check() {
 	use := ledger.NewUsage()
 	limits := ledger.NewLimits(f.account)
@@ -348,46 +348,45 @@
 	}
 }
 
-// run lets seconds pass and returns the most calls between nodes, store
-// writes and store calls in any one second.
+// run lets seconds pass and returns the highest usage of any one second.
 func (f *fleet) run(seconds int) (most usage) {
 	for range seconds {
 		before := f.usage()
 		time.Sleep(time.Second)
 		f.check()
-		most.raise(f.usage().sub(before))
+		most.setMax(f.usage().sub(before))
 	}
 	return most
 }
 
-// usage counts the work of the control part: calls between nodes, those by which a
-// decider asks for a report apart, their bytes, writes of and calls to the store.
-type usage struct{ calls, asked, bytes, writes, store int }
+// usage counts the calls between nodes other than hastens, the hastens (requests of a
+// decider to report), the bytes of both, and the writes and calls to the store.
+type usage struct{ calls, hastens, bytes, writes, store int }
 
 func (f *fleet) usage() usage {
 	counts := f.store.Counts()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	asked := f.answered[peerpb.Control_Hasten_FullMethodName]
-	return usage{calls: f.calls - asked, asked: asked, bytes: f.bytes, writes: int(counts.Of(faultkv.KindSwap)), store: int(counts.Total())}
+	return usage{calls: f.calls - asked, hastens: asked, bytes: f.bytes, writes: int(counts.Of(faultkv.KindSwap)), store: int(counts.Total())}
 }
 
 func (u usage) sub(v usage) usage {
-	return usage{u.calls - v.calls, u.asked - v.asked, u.bytes - v.bytes, u.writes - v.writes, u.store - v.store}
+	return usage{u.calls - v.calls, u.hastens - v.hastens, u.bytes - v.bytes, u.writes - v.writes, u.store - v.store}
 }
 
-func (u *usage) raise(v usage) {
+func (u *usage) setMax(v usage) {
 	u.calls = max(u.calls, v.calls)
-	u.asked = max(u.asked, v.asked)
+	u.hastens = max(u.hastens, v.hastens)
 	u.bytes = max(u.bytes, v.bytes)
 	u.writes = max(u.writes, v.writes)
 	u.store = max(u.store, v.store)
 }
 
-// link is a connection from one node to an address.
+// link is a connection from a node to an address.
 type link struct {
 	fleet   *fleet
-	from    *member
+	from    *fleetNode
 	address string
 }
 
@@ -395,7 +394,7 @@
 
 // Invoke implements grpc.ClientConnInterface.
 func (l *link) Invoke(ctx context.Context, method string, args, reply any, _ ...grpc.CallOption) error {
-	to := l.fleet.at(l.address)
+	to := l.fleet.nodeAt(l.address)
 	if to == nil || l.from.isCut() || to.isCut() {
 		return errDown
 	}
@@ -408,11 +407,11 @@
 	switch request := args.(type) {
 	case *peerpb.RenewRequest:
 		answer, err = to.server.Renew(ctx, request)
-		l.from.answeredTo(request)
+		l.from.recordReported(request)
 	case *peerpb.PassRequest:
 		answer, err = to.relay.Pass(ctx, request)
 		if err == nil {
-			l.from.answeredTo(request.Report)
+			l.from.recordReported(request.Report)
 		}
 	case *peerpb.BatchRequest:
 		answer, err = to.relay.Batch(ctx, proto.CloneOf(request))
@@ -433,8 +432,8 @@
 	return nil
 }
 
-// answeredTo notes the demand that a report told.
-func (m *member) answeredTo(request *peerpb.RenewRequest) {
+// recordReported records the demand in a report.
+func (m *fleetNode) recordReported(request *peerpb.RenewRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reportedRPS = 0
@@ -448,7 +447,7 @@
 	return nil, errDown
 }
 
-func (f *fleet) at(address string) *member {
+func (f *fleet) nodeAt(address string) *fleetNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.nodes {
--- a/control/internal/names/hash.go
+++ b/control/internal/names/hash.go
@@ -1,5 +1,5 @@
-// Package names lets a node and its decider agree on the words of a message, so
-// that later messages carry a hash in place of them. No hash is 0.
+// Package names hashes the names in messages, so that a node and its decider can omit
+// names that both know. No hash is 0.
 package names
 
 import (
@@ -11,29 +11,29 @@
 	"github.com/yuccaroute/yuccaroute/api/peerpb"
 )
 
-// separator stands after each name, which holds no byte 0.
+// separator follows each name. Names contain no zero byte.
 const separator = "\x00"
 
 // Hasher hashes names in their order.
 type Hasher struct{ digest xxhash.Digest }
 
-// NewHasher returns a hasher of no names.
+// NewHasher returns an empty hasher.
 func NewHasher() *Hasher {
 	h := &Hasher{}
 	h.digest.Reset()
 	return h
 }
 
-// Add adds a name. A digest takes every write.
+// Add adds a name. Writes to the digest cannot fail.
 func (h *Hasher) Add(name string) {
 	_, _ = h.digest.WriteString(name)
 	_, _ = h.digest.WriteString(separator)
 }
 
-// Sum returns the hash of what was added.
+// Sum returns the hash of the added names.
 func (h *Hasher) Sum() uint64 { return max(h.digest.Sum64(), 1) }
 
-// short is the hash where a collision costs a wrong measurement only.
+// short returns a 32-bit hash, for uses where a collision only falsifies a measurement.
 func (h *Hasher) short() uint32 { return max(uint32(h.digest.Sum64()), 1) }
 
 // HashPlaces hashes the services and places of loads.
@@ -56,7 +56,7 @@
 	return h.short()
 }
 
-// HashNode hashes all that names a life of a node.
+// HashNode hashes the identity of a node incarnation.
 func HashNode(ref *peerpb.NodeRef) uint64 {
 	h := NewHasher()
 	for _, name := range [...]string{ref.GetVm(), ref.GetPeerAddress(), ref.GetPlace(), ref.GetRegion()} {
--- a/control/keys.go
+++ b/control/keys.go
@@ -2,13 +2,12 @@
 
 import "github.com/yuccaroute/yuccaroute/api/model"
 
-// The prefixes of the items that the control part publishes; the account's
-// name follows.
+// Key prefixes of the published items.
 const (
-	// PlanPrefix: plan.Plan in JSON.
+	// PlanPrefix is followed by the account; the item is a plan.Plan in JSON.
 	PlanPrefix = "plan/"
-	// DeciderPrefix: peerpb.NodeRef of the decider. The store key of its lease
-	// is the same.
+	// DeciderPrefix is followed by the account; the item is the peerpb.NodeRef of
+	// the decider. The decider's lease has the same key in the store.
 	DeciderPrefix = "decider/"
 )
 
--- a/control/members.go
+++ b/control/members.go
@@ -11,9 +11,9 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// listed returns the entry VMs as the ledger reads them. Leaving VMs count:
-// they hold grants until they hand them back.
-func (s *System) listed() (vms []ledger.ListedVM, sequence uint64, age time.Duration, ok bool) {
+// listedVMs returns the entry VMs of the VM list. Leaving VMs are included, because
+// they hold grants until they release them.
+func (s *System) listedVMs() (vms []ledger.ListedVM, sequence uint64, age time.Duration, ok bool) {
 	list, age, ok := s.options.Members()
 	if !ok {
 		return nil, 0, 0, false
@@ -27,7 +27,7 @@
 	return vms, max(list.Sequence, 1), age, true
 }
 
-// candidates returns the VMs that may decide.
+// candidates returns the VMs that may become the decider.
 func (s *System) candidates() []string {
 	list, _, ok := s.options.Members()
 	if !ok {
@@ -42,8 +42,8 @@
 	return names
 }
 
-// lenders returns the live nodes of this node's region, in an order of its
-// own, so that not all borrowers ask the same one.
+// lenders returns the nodes of this node's region, ranked differently on each node
+// to spread the requests of borrowers.
 func (s *System) lenders() []*peerpb.NodeRef {
 	list, _, ok := s.options.Members()
 	if !ok {
--- a/control/options.go
+++ b/control/options.go
@@ -20,48 +20,43 @@
 	"github.com/pkg/errors"
 )
 
-// Options wires the control part of a node.
+// Options configures the control system of a node.
 type Options struct {
-	// Ref and Node name this life of the node.
+	// Ref and Node identify this incarnation of the node.
 	Ref  *peerpb.NodeRef
 	Node grant.NodeID
 	// Store is the platform's key-value service.
 	Store store.KV
-	// Accounts returns the accounts in force. It is called once a second.
+	// Accounts returns the configured accounts. It is called at least once per round.
 	Accounts func() []*model.Account
-	// Members returns the last reading of the VM list and its age; ok is false
-	// while there is none.
+	// Members returns the last VM list and its age; ok is false if there is none.
 	Members func() (list membership.List, age time.Duration, ok bool)
-	// Dial returns a connection to another node and keeps it for later calls.
+	// Dial returns a connection to another node and keeps it for reuse.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// Reports returns what was measured since the last call, one report for
-	// each account.
+	// Reports returns the measurements since the last call, one report per account.
 	Reports func(interval time.Duration) []observe.Report
-	// ApplyGrants puts a set in force before it returns. The set replaces
-	// the one before for its account, whatever its sequence: a loan or its end
-	// changes the set within one sequence.
+	// ApplyGrants puts a set in force before it returns. The set replaces the
+	// account's previous one regardless of its sequence, because a loan changes the
+	// set within a sequence.
 	ApplyGrants func(*grant.Set)
 	// Publish sends an item to all nodes without waiting for them.
 	Publish func(key string, epoch, sequence uint64, body []byte)
-	// DeciderOf returns the decider last published for an account.
+	// DeciderOf returns the last published decider of an account.
 	DeciderOf func(model.AccountName) (ref *peerpb.NodeRef, epoch uint64, ok bool)
-	// Leaving reports whether the node is in a planned stop: it takes no office
-	// any more. AdmissionClosed reports whether it takes no requests any more. Nil means
-	// never.
-	//
-	// Guard against a node that gives its grants away while callers still use
-	// it: it shows as no-capacity during a planned stop. The guard holds because
-	// the decider is told that the node leaves only once it refuses.
+	// Leaving reports whether the node is in a planned stop and must not become the
+	// decider. AdmissionClosed reports whether it accepts no more requests. Only then
+	// is the decider told of the stop, so that the node keeps its grants while callers
+	// still use it. Nil means never.
 	Leaving, AdmissionClosed func() bool
-	// Planner makes the plans; nil means the nearest place with capacity.
+	// Planner makes the plans; nil means decider.Nearest.
 	Planner decider.Planner
-	// Ledger and Allocate are the times and weights; zero means the defaults.
+	// Ledger and Allocate are protocol parameters; zero means the defaults.
 	Ledger   ledger.Params
 	Allocate allocate.Params
-	// LeaseTTL is the time to live of a decider's lease; 0 means the default.
+	// LeaseTTL is the TTL of a decider's lease; 0 means the default.
 	LeaseTTL time.Duration
-	// RelayMinFleet is from how many live entry VMs on reports go by way of a
-	// relay of the failure domain; 0 means never.
+	// RelayMinFleet is the number of live entry VMs from which reports go through a
+	// relay of the failure domain; 0 disables relays.
 	RelayMinFleet int
 	Logger        logrus.FieldLogger
 	// Clock is a monotonic clock; nil means time.Now.
@@ -99,13 +94,13 @@
 func (o Options) check() error {
 	switch {
 	case o.Ref == nil || o.Node.VM == "":
-		return errors.New("control: the node is not named")
+		return errors.New("control: node reference and VM are required")
 	case o.Store == nil:
-		return errors.New("control: no store given")
+		return errors.New("control: store is required")
 	case o.Accounts == nil || o.Members == nil || o.Dial == nil || o.Reports == nil:
-		return errors.New("control: a source is missing")
+		return errors.New("control: Accounts, Members, Dial and Reports are required")
 	case o.ApplyGrants == nil || o.Publish == nil || o.DeciderOf == nil:
-		return errors.New("control: a receiver is missing")
+		return errors.New("control: ApplyGrants, Publish and DeciderOf are required")
 	}
 	return o.Ledger.Check()
 }
--- a/control/relay.go
+++ b/control/relay.go
@@ -11,7 +11,8 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// relayServer passes on reports of other nodes, and takes in batches as a decider.
+// relayServer implements the Relay service: it forwards reports of other nodes and, on
+// a decider, answers batches.
 type relayServer struct {
 	peerpb.UnimplementedRelayServer
 	system *System
@@ -31,11 +32,11 @@
 	if a == nil {
 		return &peerpb.BatchResponse{Code: uint32(result.UnknownAccount)}, nil
 	}
-	return relay.AnswerBatch(ctx, request, s.system.renewOf(a)), nil
+	return relay.AnswerBatch(ctx, request, s.system.renewFunc(a)), nil
 }
 
-// renewOf answers a report of an account as its decider.
-func (s *System) renewOf(a *account) relay.RenewFunc {
+// renewFunc returns the function that answers the account's reports as its decider.
+func (s *System) renewFunc(a *account) relay.RenewFunc {
 	return func(ctx context.Context, request *peerpb.RenewRequest) *peerpb.RenewResponse {
 		response := a.decider.Renew(ctx, request)
 		if response.Code == uint32(result.NotLeader) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// deciderOf returns the decider of an account that this node works for.
+// deciderOf returns the decider of an account that is configured on this node.
 func (s *System) deciderOf(name model.AccountName) (ref *peerpb.NodeRef, epoch uint64, ok bool) {
 	a := s.account(name)
 	if a == nil {
@@ -64,8 +65,8 @@
 	return a.deciderRef()
 }
 
-// pass hands a report to a relay, which may be this node.
-func (s *System) pass(ctx context.Context, to *peerpb.NodeRef, request *peerpb.PassRequest) (*peerpb.RenewResponse, error) {
+// sendViaRelay sends a report to a relay, which may be this node.
+func (s *System) sendViaRelay(ctx context.Context, to *peerpb.NodeRef, request *peerpb.PassRequest) (*peerpb.RenewResponse, error) {
 	if to.Vm == s.options.Ref.Vm {
 		return s.relay.Pass(ctx, request)
 	}
@@ -76,34 +77,34 @@
 	return peerpb.NewRelayClient(conn).Pass(ctx, request)
 }
 
-// relayList keeps what relays are chosen from, so that the VM list is gone through
-// only when it has changed.
-type relayList struct {
+// memberCache caches the relay candidates, so that the VM list is scanned only after
+// a change.
+type memberCache struct {
 	options Options
 
-	mu   sync.Mutex
-	of   membership.List
-	kept relay.Members
+	mu     sync.Mutex
+	list   membership.List
+	cached relay.Members
 }
 
-func newRelayList(options Options) *relayList { return &relayList{options: options} }
+func newMemberCache(options Options) *memberCache { return &memberCache{options: options} }
 
-// members returns the live nodes; there are none while there is no list.
-func (r *relayList) members() relay.Members {
+// members returns the live nodes, none while there is no VM list.
+func (r *memberCache) members() relay.Members {
 	list, _, ok := r.options.Members()
 	if !ok {
 		return relay.Members{}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.kept.FleetSize == 0 || list.Epoch != r.of.Epoch || list.Sequence != r.of.Sequence {
-		r.of = list
-		r.kept = r.choose(list)
+	if r.cached.FleetSize == 0 || list.Epoch != r.list.Epoch || list.Sequence != r.list.Sequence {
+		r.list = list
+		r.cached = r.relayMembers(list)
 	}
-	return r.kept
+	return r.cached
 }
 
-func (r *relayList) choose(list membership.List) relay.Members {
+func (r *memberCache) relayMembers(list membership.List) relay.Members {
 	var members relay.Members
 	own := r.options.Ref
 	for i := range list.VMs {
--- a/control/relay_test.go
+++ b/control/relay_test.go
@@ -13,18 +13,18 @@
 	batchMethod = "/yuccaroute.peer.v1.Relay/Batch"
 )
 
-// count returns how many calls of a method were answered.
-func (f *fleet) count(method string) int {
+// answeredCalls returns the number of answered calls of a method.
+func (f *fleet) answeredCalls(method string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.answered[method]
 }
 
-// relay returns a relay that is not the decider, and the nodes behind it.
-func (f *fleet) relay() (relay *member, behind []*member) {
+// nonDecidingRelay returns a relay that is not the decider, and the nodes behind it.
+func (f *fleet) nonDecidingRelay() (relay *fleetNode, behind []*fleetNode) {
 	decider, _, _ := f.deciderOf("daehan")
 	for _, region := range f.account.Regions {
-		nodes := make(map[string]*member)
+		nodes := make(map[string]*fleetNode)
 		var names []string
 		for _, m := range f.nodes {
 			if m.ref.Region == string(region.Name) {
@@ -43,66 +43,64 @@
 		}
 		return relay, behind
 	}
-	f.t.Fatal("all relays decide")
+	f.t.Fatal("every relay is the decider")
 	return nil, nil
 }
 
-// A relay fails in the middle of its work while the VM list still shows it. Its
-// nodes would lose the part of their grants that expires, 15 s after their last
-// answer, and with it callers. They must find the decider by themselves, without a
-// burst on it, and grants must not be given twice on the way.
-func TestFailedRelayCostsOnlyTime(t *testing.T) {
+// When a relay fails while it is still listed, the nodes behind it must reach the
+// decider directly before their surplus expires, without a burst of reports.
+func TestNodesBypassFailedRelay(t *testing.T) {
 	const seconds, nodes = 60, 16
-	for name, fail := range map[string]func(f *fleet, relay *member){
-		"killed":  func(_ *fleet, relay *member) { relay.kill() },
-		"cut off": func(_ *fleet, relay *member) { relay.setCut(true) },
-		// The relay takes reports and nothing goes on.
-		"paused": func(_ *fleet, relay *member) { relay.pause() },
-		// The decider changes, and no item about it reaches the relay any more.
-		"old decider": func(f *fleet, relay *member) {
-			relay.freezeDecider()
-			f.at(f.decider.PeerAddress).kill()
+	for name, fail := range map[string]func(f *fleet, relay *fleetNode){
+		"killed":  func(_ *fleet, relay *fleetNode) { relay.kill() },
+		"cut off": func(_ *fleet, relay *fleetNode) { relay.setCut(true) },
+		// The relay accepts reports and does not respond.
+		"paused": func(_ *fleet, relay *fleetNode) { relay.pause() },
+		// The decider changes and the relay does not learn of it.
+		"old decider": func(f *fleet, relay *fleetNode) {
+			relay.fixDecider()
+			f.nodeAt(f.decider.PeerAddress).kill()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withinRelays(t, nodes, 1, func(t *testing.T, f *fleet) {
-				relay, behind := f.relay()
+			runRelayFleet(t, nodes, 1, func(t *testing.T, f *fleet) {
+				relay, behind := f.nonDecidingRelay()
 				fail(f, relay)
 				most := 0
 				for range seconds {
-					before := f.count(renewMethod)
+					before := f.answeredCalls(renewMethod)
 					time.Sleep(time.Second)
 					f.check()
-					most = max(most, f.count(renewMethod)-before)
+					most = max(most, f.answeredCalls(renewMethod)-before)
 					for _, m := range behind {
 						heard := m.system.Status()[0].Holder.Heard
 						if silent := time.Since(heard); !m.isDown() && silent > ledger.DefaultParams().SurplusTTL {
-							t.Errorf("%s had no answer for %v", m.ref.Vm, silent)
+							t.Errorf("%s had no response for %v", m.ref.Vm, silent)
 						}
 					}
 				}
-				t.Logf("at most %d direct reports in a second", most)
+				t.Logf("at most %d direct reports in one second", most)
 				if most > nodes {
-					t.Errorf("%d direct reports in a second of %d nodes", most, nodes)
+					t.Errorf("%d direct reports in one second of %d nodes", most, nodes)
 				}
 			})
 		})
 	}
 }
 
-// The calls that a decider takes must follow the number of failure domains, not
-// that of nodes.
-func TestDeciderTakesCallsOfRelays(t *testing.T) {
+// The number of calls to a decider must depend on the number of failure domains, not
+// on the number of nodes.
+func TestDeciderCallsDependOnDomains(t *testing.T) {
 	const seconds = 60
 	for _, nodes := range []int{8, 16, 48} {
-		withinRelays(t, nodes, 1, func(t *testing.T, f *fleet) {
-			f.offer(10)
+		runRelayFleet(t, nodes, 1, func(t *testing.T, f *fleet) {
+			f.setDemand(10)
 			f.run(30)
-			renewals, batches, began := f.count(renewMethod), f.count(batchMethod), f.usage()
+			renewals, batches, began := f.answeredCalls(renewMethod), f.answeredCalls(batchMethod), f.usage()
 			f.run(seconds)
-			renewals, batches = f.count(renewMethod)-renewals, f.count(batchMethod)-batches
+			renewals, batches = f.answeredCalls(renewMethod)-renewals, f.answeredCalls(batchMethod)-batches
 			used := f.usage().sub(began)
-			t.Logf("%d nodes: %.2f renewals/s, %.2f batches/s, %.0f bytes/s in all", nodes,
+			t.Logf("%d nodes: %.2f renewals/s, %.2f batches/s, %.0f bytes/s in total", nodes,
 				float64(renewals)/seconds, float64(batches)/seconds, float64(used.bytes)/seconds)
 			regions := len(f.account.Regions)
 			if renewals > seconds+2 || batches > regions*(seconds+2) || batches == 0 {
--- a/control/sampler.go
+++ b/control/sampler.go
@@ -7,62 +7,61 @@
 	"github.com/yuccaroute/yuccaroute/api/observe"
 )
 
-// shortSample is how long the demand of a node that is short is counted for its
-// report: shorter and chance prevails, longer and the callers wait for it.
-const shortSample = 200 * time.Millisecond
+// earlySampleTime is how long demand is measured for an early report. Shorter samples
+// are too noisy; longer ones delay the waiting callers.
+const earlySampleTime = 200 * time.Millisecond
 
-// samples are reports by account.
+// samples maps accounts to reports.
 type samples map[model.AccountName]observe.Report
 
-// sampler takes what was measured. A report out of turn covers the last moments
-// only, a regular one all since the last regular one; both read the same counts,
-// which reading resets.
+// sampler collects measurements for regular and early reports. Reading the counters
+// resets them, so each reading is added to both kinds.
 type sampler struct {
 	read func(interval time.Duration) []observe.Report
 	last time.Time
-	// whole is since the last regular sample, recent since the cut; it is nil
-	// while no report out of turn is due.
-	whole, recent samples
+	// sinceRegular covers the time since the last regular report, earlySamples the
+	// time since beginEarly; it is nil while no early report is due.
+	sinceRegular, earlySamples samples
 }
 
 func newSampler(read func(time.Duration) []observe.Report, now time.Time) *sampler {
-	return &sampler{read: read, last: now, whole: make(samples)}
+	return &sampler{read: read, last: now, sinceRegular: make(samples)}
 }
 
-// regular returns what was measured since the last call.
-func (s *sampler) regular(now time.Time) samples {
-	s.take(now)
-	all := s.whole
-	s.whole = make(samples, len(all))
+// takeRegular returns the measurements since its last call.
+func (s *sampler) takeRegular(now time.Time) samples {
+	s.collect(now)
+	all := s.sinceRegular
+	s.sinceRegular = make(samples, len(all))
 	return all
 }
 
-// cut begins the interval of sinceCut.
-func (s *sampler) cut(now time.Time) {
-	s.take(now)
-	s.recent = make(samples)
+// beginEarly starts the interval of the next early report.
+func (s *sampler) beginEarly(now time.Time) {
+	s.collect(now)
+	s.earlySamples = make(samples)
 }
 
-// sinceCut returns what was measured since the call of cut.
-func (s *sampler) sinceCut(now time.Time) samples {
-	s.take(now)
-	recent := s.recent
-	s.recent = nil
+// takeEarly returns the measurements since beginEarly.
+func (s *sampler) takeEarly(now time.Time) samples {
+	s.collect(now)
+	recent := s.earlySamples
+	s.earlySamples = nil
 	return recent
 }
 
-func (s *sampler) take(now time.Time) {
+func (s *sampler) collect(now time.Time) {
 	interval := now.Sub(s.last)
 	s.last = now
 	for _, r := range s.read(interval) {
-		s.whole.add(r)
-		if s.recent != nil {
-			s.recent.add(r)
+		s.sinceRegular.add(r)
+		if s.earlySamples != nil {
+			s.earlySamples.add(r)
 		}
 	}
 }
 
-// add joins a report with those of earlier parts of the same interval.
+// add merges a report into the earlier one of the same account.
 func (s samples) add(r observe.Report) {
 	old, ok := s[r.Account]
 	if ok && old.Interval > 0 {
--- a/control/sampler_test.go
+++ b/control/sampler_test.go
@@ -11,12 +11,12 @@
 	"github.com/yuccaroute/yuccaroute/api/observe"
 )
 
-// A report out of turn reads the counts in the middle of a regular interval. The
-// regular report must still tell each request once, however often that happened.
-func TestSamplesKeepEveryRequest(t *testing.T) {
+// Regular reports must count each request once, although early reports reset the same
+// counters in between.
+func TestSamplerCountsEachRequestOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(0, 0)
-		sent, told := make(map[model.RegionName]float64), make(map[model.RegionName]float64)
+		sent, reported := make(map[model.RegionName]float64), make(map[model.RegionName]float64)
 		var arrived map[model.RegionName]int
 		s := newSampler(func(interval time.Duration) []observe.Report {
 			r := observe.Report{Account: "daehan", Interval: interval}
@@ -40,33 +40,33 @@
 			}
 			switch rapid.IntRange(0, 2).Draw(rt, "sample") {
 			case 0:
-				s.cut(now)
+				s.beginEarly(now)
 			case 1:
-				s.sinceCut(now)
+				s.takeEarly(now)
 			default:
-				refused += tell(told, s.regular(now))
+				refused += addReported(reported, s.takeRegular(now))
 			}
 		}
 		arrived = nil
-		refused += tell(told, s.regular(now.Add(time.Second)))
+		refused += addReported(reported, s.takeRegular(now.Add(time.Second)))
 		all := 0.0
 		for caller, n := range sent {
 			all += n
-			if math.Abs(told[caller]-n) > 1e-6 {
-				rt.Fatalf("%v requests of %s were told as %v", n, caller, told[caller])
+			if math.Abs(reported[caller]-n) > 1e-6 {
+				rt.Fatalf("%v requests of %s were reported as %v", n, caller, reported[caller])
 			}
 		}
 		if math.Abs(refused-all) > 1e-6 {
-			rt.Fatalf("%v refusals were told as %v", all, refused)
+			rt.Fatalf("%v refusals were reported as %v", all, refused)
 		}
 	})
 }
 
-// tell adds the requests of regular samples and returns the refusals.
-func tell(told map[model.RegionName]float64, all samples) (refused float64) {
+// addReported adds the requests in regular samples and returns the refusals.
+func addReported(reported map[model.RegionName]float64, all samples) (refused float64) {
 	for _, r := range all {
 		for _, f := range r.Flows {
-			told[f.Caller] += f.OfferedRPS * r.Interval.Seconds()
+			reported[f.Caller] += f.OfferedRPS * r.Interval.Seconds()
 		}
 		for _, p := range r.Places {
 			refused += p.RefusedRPS * r.Interval.Seconds()
--- a/control/server.go
+++ b/control/server.go
@@ -8,7 +8,7 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// server answers other nodes.
+// server implements the Control service.
 type server struct {
 	peerpb.UnimplementedControlServer
 	system *System
@@ -20,7 +20,7 @@
 	if a == nil {
 		return &peerpb.RenewResponse{Code: uint32(result.UnknownAccount)}, nil
 	}
-	return s.system.renewOf(a)(ctx, request), nil
+	return s.system.renewFunc(a)(ctx, request), nil
 }
 
 // Lend implements the Control service.
@@ -40,9 +40,9 @@
 	}
 	a.holder.Hasten(request.Epoch)
 	select {
-	case s.system.hastened <- a:
+	case s.system.reportRequests <- a:
 	default:
-		// The next round makes the report.
+		// The next round sends the report.
 	}
 	return &peerpb.HastenResponse{}, nil
 }
--- a/control/system.go
+++ b/control/system.go
@@ -1,6 +1,6 @@
-// Package control is a node's share of the control work: it holds the grants
-// of this node for every client account, and decides for the accounts whose
-// lease this node holds.
+// Package control runs the control work of a node: it holds the node's grants for
+// every client account, and acts as the decider of the accounts whose lease the
+// node holds.
 package control
 
 import (
@@ -18,34 +18,34 @@
 	"github.com/yuccaroute/yuccaroute/control/relay"
 )
 
-// System is the control part of one node.
+// System is the control system of one node.
 type System struct {
 	options Options
 	refBody []byte
 
-	// short wakes Run when a node is short, hurried when a decider is to decide
-	// out of turn.
-	short   chan struct{}
-	hurried chan *account
-	// hastened wakes Run when a decider asks for a report.
-	hastened chan *account
+	// shortages wakes Run for early reports, reallocations for reallocations out of
+	// turn.
+	shortages     chan struct{}
+	reallocations chan *account
+	// reportRequests wakes Run when a decider requests a report.
+	reportRequests chan *account
 	// sampler is used by Run only.
 	sampler *sampler
-	// relay passes on reports of other nodes, relays are those that may pass on
-	// the reports of this one.
+	// relay forwards reports of other nodes; relays caches the nodes that may forward
+	// this node's reports.
 	relay  *relay.Relay
-	relays *relayList
+	relays *memberCache
 
 	mu       sync.Mutex
 	accounts map[model.AccountName]*account
 	running  sync.WaitGroup
 }
 
-// hurriedRoom is how many requests for a decision or a report out of turn may
-// wait; the next round serves those that are dropped.
-const hurriedRoom = 64
+// wakeQueueSize bounds the queued requests for reallocations and for reports; the next
+// round serves the dropped ones.
+const wakeQueueSize = 64
 
-// New returns a control part that is not running.
+// New returns a control system; Run starts it.
 func New(options Options) (*System, error) {
 	options = options.withDefaults()
 	if err := options.check(); err != nil {
@@ -56,14 +56,14 @@
 		return nil, err
 	}
 	s := &System{
-		options:  options,
-		refBody:  body,
-		short:    make(chan struct{}, 1),
-		hurried:  make(chan *account, hurriedRoom),
-		hastened: make(chan *account, hurriedRoom),
-		sampler:  newSampler(options.Reports, options.Clock()),
-		accounts: make(map[model.AccountName]*account),
-		relays:   newRelayList(options),
+		options:        options,
+		refBody:        body,
+		shortages:      make(chan struct{}, 1),
+		reallocations:  make(chan *account, wakeQueueSize),
+		reportRequests: make(chan *account, wakeQueueSize),
+		sampler:        newSampler(options.Reports, options.Clock()),
+		accounts:       make(map[model.AccountName]*account),
+		relays:         newMemberCache(options),
 	}
 	s.relay = relay.New(s.relayOptions())
 	return s, nil
@@ -75,13 +75,13 @@
 	peerpb.RegisterRelayServer(registrar, &relayServer{system: s})
 }
 
-// period is the time between two rounds of work.
-const period = time.Second
+// roundInterval is the time between two rounds of work.
+const roundInterval = time.Second
 
-// Run does the control work until the context ends.
+// Run does the control work until the context is done.
 func (s *System) Run(ctx context.Context) error {
 	defer s.running.Wait()
-	ticker := time.NewTicker(period)
+	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
 	s.round(ctx)
 	var early <-chan time.Time
@@ -91,61 +91,61 @@
 			return nil
 		case <-ticker.C:
 			s.round(ctx)
-		case <-s.short:
+		case <-s.shortages:
 			if early == nil {
-				s.sampler.cut(s.options.Clock())
-				early = time.After(shortSample)
+				s.sampler.beginEarly(s.options.Clock())
+				early = time.After(earlySampleTime)
 			}
 		case <-early:
 			early = nil
-			s.reportShort(ctx)
-		case a := <-s.hurried:
-			s.relieve(ctx, a)
-		case a := <-s.hastened:
-			s.reportDue(ctx, a, a.measured)
+			s.reportShortages(ctx)
+		case a := <-s.reallocations:
+			s.startReallocation(ctx, a)
+		case a := <-s.reportRequests:
+			s.reportIfDue(ctx, a, a.unreported)
 		}
 	}
 }
 
-// round starts the work of all accounts. An account whose last step still
-// waits for the store is left out, so that none delays another.
+// round starts the work of all accounts. It skips steps of accounts whose last step
+// still waits for the store, so that no account delays another.
 func (s *System) round(ctx context.Context) {
-	reports := s.sampler.regular(s.options.Clock())
-	for _, a := range s.refresh() {
+	reports := s.sampler.takeRegular(s.options.Clock())
+	for _, a := range s.refreshAccounts() {
 		a.holder.Tick()
-		now := reports[a.name]
-		a.measured = observe.Join(a.measured, now)
-		s.reportDue(ctx, a, now)
-		s.decide(ctx, a)
+		recent := reports[a.name]
+		a.unreported = observe.Join(a.unreported, recent)
+		s.reportIfDue(ctx, a, recent)
+		s.startStep(ctx, a)
 	}
 }
 
-// reportDue makes the regular report of an account if it is due. It covers all
-// that was measured since the last one.
-func (s *System) reportDue(ctx context.Context, a *account, recent observe.Report) {
-	if a.holder.Due(recent, a.measured) {
-		s.report(ctx, a, a.measured)
-		a.measured = observe.Report{}
+// reportIfDue sends the regular report of an account if it is due. The report covers
+// the time since the last one.
+func (s *System) reportIfDue(ctx context.Context, a *account, recent observe.Report) {
+	if a.holder.Due(recent, a.unreported) {
+		s.report(ctx, a, a.unreported)
+		a.unreported = observe.Report{}
 	}
 }
 
-// SignalShortage tells that requests of an account wait for more than the node has. It
-// does not block.
+// SignalShortage signals that an account's requests wait because its grant is used up.
+// It does not block.
 func (s *System) SignalShortage(name model.AccountName) {
 	a := s.account(name)
 	if a == nil || !a.holder.SignalShortage() {
 		return
 	}
 	select {
-	case s.short <- struct{}{}:
+	case s.shortages <- struct{}{}:
 	default:
 	}
 }
 
-// reportShort makes the reports of the accounts that are short.
-func (s *System) reportShort(ctx context.Context) {
-	reports := s.sampler.sinceCut(s.options.Clock())
-	for _, a := range s.refresh() {
+// reportShortages sends the early reports that are due.
+func (s *System) reportShortages(ctx context.Context) {
+	reports := s.sampler.takeEarly(s.options.Clock())
+	for _, a := range s.refreshAccounts() {
 		if a.holder.DueEarly() {
 			s.report(ctx, a, reports[a.name])
 		}
@@ -156,29 +156,28 @@
 	s.running.Go(func() { a.holder.Report(ctx, report, s.options.AdmissionClosed()) })
 }
 
-// relieve starts a decision out of turn, unless one was made just now. While a
-// step is under way it is put off: that step may have begun before the report
-// that asks for it.
-func (s *System) relieve(ctx context.Context, a *account) {
+// startReallocation starts a reallocation out of turn unless one was made recently.
+// During a step it is delayed, because that step may have begun before the report
+// that requested it.
+func (s *System) startReallocation(ctx context.Context, a *account) {
 	now := s.options.Clock()
-	if now.Sub(a.relieved) < relieveEvery {
+	if now.Sub(a.lastReallocation) < minReallocationInterval {
 		return
 	}
 	if !a.stepping.CompareAndSwap(false, true) {
-		time.AfterFunc(gather, a.hurry)
+		time.AfterFunc(reallocationDelay, a.requestReallocation)
 		return
 	}
-	a.relieved = now
+	a.lastReallocation = now
 	s.running.Go(func() {
 		defer a.stepping.Store(false)
-		a.relieve(ctx)
+		a.reallocate(ctx)
 	})
 }
 
-// refresh takes the accounts in force into use. An account that is gone from
-// the configuration keeps its control work, so that its grants are accounted
-// for; with no configuration it makes no decisions.
-func (s *System) refresh() []*account {
+// refreshAccounts updates the accounts from the configuration. An account that was
+// removed from it is kept, so that its grants stay accounted for.
+func (s *System) refreshAccounts() []*account {
 	configured := s.options.Accounts()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +196,7 @@
 	return all
 }
 
-func (s *System) decide(ctx context.Context, a *account) {
+func (s *System) startStep(ctx context.Context, a *account) {
 	if !a.stepping.CompareAndSwap(false, true) {
 		return
 	}
@@ -213,8 +212,8 @@
 	return s.accounts[name]
 }
 
-// Explain returns why the last plan of an account is what it is; ok is false
-// when this node does not decide for it.
+// Explain returns the explanation of an account's last plan; ok is false if this node
+// is not its decider.
 func (s *System) Explain(name model.AccountName) (explanation any, ok bool) {
 	a := s.account(name)
 	if a == nil {
@@ -224,14 +223,14 @@
 	return status.Explanation, status.Deciding
 }
 
-// AccountStatus is what operators see of the control work of one account.
+// AccountStatus is the state of the control work of one account.
 type AccountStatus struct {
 	Account model.AccountName
 	Decider decider.Status
 	Holder  holder.Status
 }
 
-// Status returns the state of all accounts.
+// Status returns the state of all accounts, sorted by name.
 func (s *System) Status() []AccountStatus {
 	s.mu.Lock()
 	accounts := make([]*account, 0, len(s.accounts))
@@ -247,12 +246,12 @@
 	return all
 }
 
-// RelayStatus returns what this node has passed on for others.
+// RelayStatus returns the state of the relay on this node.
 func (s *System) RelayStatus() relay.Status { return s.relay.Status() }
 
-// Stop gives back the leases and the grants of this node, so that others go on
-// at once; call it after the node takes no new requests. Run must still be
-// running, and no decision is started after it.
+// Stop releases the leases and grants of this node, so that other nodes take over
+// without delay. Call it after the node has stopped accepting requests and while Run
+// is still running. It starts no new decisions afterwards.
 func (s *System) Stop(ctx context.Context) {
 	s.mu.Lock()
 	accounts := make([]*account, 0, len(s.accounts))
--- a/control/system_test.go
+++ b/control/system_test.go
@@ -10,14 +10,13 @@
 	"github.com/yuccaroute/yuccaroute/store/faultkv"
 )
 
-// within runs a test of a fleet in its own time.
-func within(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
-	withinRelays(t, size, 0, test)
+// runFleet runs a test of a fleet in a synctest bubble.
+func runFleet(t *testing.T, size int, test func(t *testing.T, f *fleet)) {
+	runRelayFleet(t, size, 0, test)
 }
 
-// withinRelays is within for a fleet whose reports go by relay from a number of
-// nodes on.
-func withinRelays(t *testing.T, size, from int, test func(t *testing.T, f *fleet)) {
+// runRelayFleet is like runFleet, with a minimum size for relays.
+func runRelayFleet(t *testing.T, size, from int, test func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRelayFleet(t, size, from)
 		defer f.stop()
@@ -26,17 +25,17 @@
 	})
 }
 
-func (f *fleet) deciding() *member {
+func (f *fleet) decidingNode() *fleetNode {
 	for _, m := range f.nodes {
 		if !m.isDown() && m.system.Status()[0].Decider.Deciding {
 			return m
 		}
 	}
-	f.t.Fatal("nobody decides")
+	f.t.Fatal("no node is the decider")
 	return nil
 }
 
-func (f *fleet) sum() grant.Amount {
+func (f *fleet) permittedSum() grant.Amount {
 	var sum grant.Amount
 	for _, m := range f.nodes {
 		sum += m.permitted()
@@ -44,84 +43,81 @@
 	return sum
 }
 
-// rps is n requests per second.
+// rps converts requests per second to an amount.
 func rps(n float64) grant.Amount { return grant.Amount(n * float64(grant.PerRequest)) }
 
-// Steady demand must cause no write, and no node more calls than a report and an
-// acknowledgement a second.
+// Steady demand must cause no writes, and at most a report and an acknowledgement per
+// node and second.
 func TestSteadyDemandCausesNoWrites(t *testing.T) {
-	within(t, 8, func(t *testing.T, f *fleet) {
-		if sum := f.sum(); sum < rps(1700) {
-			t.Fatalf("%.0f of 2000 requests/s given out", sum.RPS())
+	runFleet(t, 8, func(t *testing.T, f *fleet) {
+		if sum := f.permittedSum(); sum < rps(1700) {
+			t.Fatalf("%.0f of 2000 requests/s allocated", sum.RPS())
 		}
 		most := f.run(60)
-		t.Logf("in any second: %d calls, %d bytes, %d writes, %d store calls", most.calls, most.bytes, most.writes, most.store)
-		if most.writes != 0 || most.calls+most.asked > 2*len(f.nodes) {
-			t.Fatalf("steady: %+v", most)
+		t.Logf("max in one second: %d calls, %d bytes, %d writes, %d store calls", most.calls, most.bytes, most.writes, most.store)
+		if most.writes != 0 || most.calls+most.hastens > 2*len(f.nodes) {
+			t.Fatalf("usage in the steady state: %+v", most)
 		}
 	})
 }
 
-// The decider and another node are killed at once. Callers must not notice:
-// the other nodes keep what they have while a new decider takes over, and the
-// work is that of a steady state but for one ledger write and one report a second
-// of each node until it is answered.
+// When the decider and another node fail at once, the other nodes must keep their
+// grants and cause no burst of messages or writes.
 func TestFailureCausesNoBurst(t *testing.T) {
 	const (
 		seconds = 80
-		// without is for how long no decider answers, at most, and wholeBytes the
-		// size of a report with all words and its answer.
-		without    = 20
-		wholeBytes = 150
+		// takeoverSeconds is the longest time without a decider, fullCallBytes the
+		// size of a report with all names and its response.
+		takeoverSeconds = 20
+		fullCallBytes   = 150
 	)
-	within(t, 8, func(t *testing.T, f *fleet) {
+	runFleet(t, 8, func(t *testing.T, f *fleet) {
 		began := f.usage()
 		f.run(seconds)
 		steady := f.usage().sub(began)
-		f.deciding().kill()
+		f.decidingNode().kill()
 		for _, m := range f.nodes {
 			if !m.isDown() {
 				m.kill()
 				break
 			}
 		}
-		before := f.sum()
+		before := f.permittedSum()
 		began = f.usage()
 		most := f.run(20)
-		if after := f.sum(); after < before*9/10 {
-			t.Errorf("%.0f requests/s permitted before, %.0f after the change of decider", before.RPS(), after.RPS())
+		if after := f.permittedSum(); after < before*9/10 {
+			t.Errorf("%.0f requests/s permitted before the takeover, %.0f after it", before.RPS(), after.RPS())
 		}
-		most.raise(f.run(seconds - 20))
+		most.setMax(f.run(seconds - 20))
 		failure := f.usage().sub(began)
-		t.Logf("in %d s: steady %+v, failure %+v; most in one second of it %+v", seconds, steady, failure, most)
-		repeated := without * len(f.nodes)
-		if failure.calls+failure.asked > steady.calls+steady.asked+repeated || failure.bytes > steady.bytes+repeated*wholeBytes {
-			t.Error("more messages in a failure than steady and those that no decider answers")
+		t.Logf("in %d s: steady %+v, failure %+v; max in one second of the failure %+v", seconds, steady, failure, most)
+		repeated := takeoverSeconds * len(f.nodes)
+		if failure.calls+failure.hastens > steady.calls+steady.hastens+repeated || failure.bytes > steady.bytes+repeated*fullCallBytes {
+			t.Error("a failure causes more messages than the repeated reports")
 		}
-		// A node that was held up may send twice in a second, once for each, and one
-		// at rest is asked for it once.
-		if most.calls > 2*len(f.nodes) || most.asked > len(f.nodes) {
-			t.Errorf("%d calls in one second, %d nodes asked", most.calls, most.asked)
+		// A delayed node may send two reports in one second, and a node with steady
+		// demand is asked to report once.
+		if most.calls > 2*len(f.nodes) || most.hastens > len(f.nodes) {
+			t.Errorf("%d calls in one second, %d nodes asked to report", most.calls, most.hastens)
 		}
-		// One write takes the lease, one is of the ledger.
+		// One write acquires the lease, one is of the ledger.
 		if most.writes > 2 || failure.writes > seconds/4 {
-			t.Errorf("%d writes in one second, %d in all", most.writes, failure.writes)
+			t.Errorf("%d writes in one second, %d in total", most.writes, failure.writes)
 		}
 	})
 }
 
-// outageSeconds is the length of a long outage; the protocol has no time
-// beyond the removal time, so an hour stands for a day.
+// outageSeconds is the length of a long outage. No timer of the protocol is longer than
+// the removal time, so an hour is representative.
 const outageSeconds = 60 * 60
 
-// The store is out for very long. Nobody decides; callers are served on the
-// floors, which are at most 70 % of each capacity. A VM that comes up new
-// borrows and serves too.
-func TestStoreOutForADay(t *testing.T) {
-	within(t, 6, func(t *testing.T, f *fleet) {
+// During a long store outage there is no decider. Nodes must keep serving from their
+// floors, and a new node from loans.
+func TestLongStoreOutage(t *testing.T) {
+	runFleet(t, 6, func(t *testing.T, f *fleet) {
 		f.store.SetOutage(true)
 		f.run(outageSeconds)
-		sum := f.sum()
+		sum := f.permittedSum()
 		if sum < rps(1200) || sum > rps(1400) {
 			t.Errorf("%.0f requests/s permitted on floors", sum.RPS())
 		}
@@ -131,54 +127,53 @@
 			t.Errorf("a new node may send %.0f requests/s", fresh.permitted().RPS())
 		}
 		f.store.SetOutage(false)
-		// What nobody asks for may stay unassigned: ask for all of it.
-		f.offer(900)
+		// Only capacity in demand must be allocated again.
+		f.setDemand(900)
 		f.run(60)
-		if sum := f.sum(); sum < rps(1700) {
+		if sum := f.permittedSum(); sum < rps(1700) {
 			t.Errorf("%.0f requests/s permitted after the outage", sum.RPS())
 		}
 	})
 }
 
-// A node stops as planned, and its callers go to the other nodes: what it had
-// must be theirs soon. Another one dies: what it had is theirs after the
-// removal time and not before, as it may only be cut off.
-func TestGrantsOfNodesThatLeave(t *testing.T) {
-	within(t, 4, func(t *testing.T, f *fleet) {
+// The grants of a node must be reassigned soon after a planned stop, but only after
+// the removal time when it dies.
+func TestGrantsOfLeavingNodesReassigned(t *testing.T) {
+	runFleet(t, 4, func(t *testing.T, f *fleet) {
 		leaver := f.nodes[0]
 		leaver.system.Stop(t.Context())
 		leaver.kill()
 		f.unlist(leaver.ref.Vm)
-		f.offer(600)
-		// If the leaver decided, the next decider waits for the surplus.
+		f.setDemand(600)
+		// If the leaving node was the decider, the next one waits for the surplus to expire.
 		f.run(20)
-		if heir := f.nodes[2].permitted(); heir < rps(600) {
-			t.Errorf("the other node of the region may send %.0f requests/s after a planned stop", heir.RPS())
+		if permitted := f.nodes[2].permitted(); permitted < rps(600) {
+			t.Errorf("the other node of the region may send %.0f requests/s after a planned stop", permitted.RPS())
 		}
 		dead := f.nodes[1]
 		dead.kill()
 		f.unlist(dead.ref.Vm)
-		f.offer(900)
+		f.setDemand(900)
 		f.run(25)
-		if sum := f.sum(); sum > rps(2000)-dead.floors() {
-			t.Errorf("%.0f requests/s permitted: floors were given away early", sum.RPS())
+		if sum := f.permittedSum(); sum > rps(2000)-dead.floorSum() {
+			t.Errorf("%.0f requests/s permitted: floors were reassigned early", sum.RPS())
 		}
 		f.run(60)
-		if sum := f.sum(); sum < rps(1700) {
+		if sum := f.permittedSum(); sum < rps(1700) {
 			t.Errorf("%.0f requests/s permitted after the removal time", sum.RPS())
 		}
 	})
 }
 
-// offer sets the demand in front of each node.
-func (f *fleet) offer(rps float64) {
+// setDemand sets the demand on each node.
+func (f *fleet) setDemand(rps float64) {
 	for _, m := range f.nodes {
-		m.ask(rps)
+		m.setDemand(rps)
 	}
 }
 
-// floors is the part of the node's last set that does not end by itself.
-func (m *member) floors() grant.Amount {
+// floorSum returns the sum of the floors in the node's last set.
+func (m *fleetNode) floorSum() grant.Amount {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var sum grant.Amount
@@ -188,32 +183,30 @@
 	return sum
 }
 
-// A new node must serve soon, though everything is given out.
-func TestNewNodeGetsItsPart(t *testing.T) {
-	within(t, 6, func(t *testing.T, f *fleet) {
+// A new node must get grants soon although all capacity is allocated.
+func TestNewNodeGetsGrants(t *testing.T) {
+	runFleet(t, 6, func(t *testing.T, f *fleet) {
 		fresh := f.add("fresh", 9, 1)
 		f.run(3)
 		first := fresh.permitted()
 		f.run(10)
 		t.Logf("a new node: %.0f requests/s after 3 s, %.0f after 13 s", first.RPS(), fresh.permitted().RPS())
 		if first < rps(20) || fresh.permitted() < rps(100) {
-			t.Error("a new node got too little")
+			t.Error("grants of a new node are too small")
 		}
 	})
 }
 
-// The store refuses, loses and delays one call in five while nodes die, start
-// again and are cut off for a time, with the leases, runners and timers of a real
-// node around the decisions. A region would be pushed past its capacity if one
-// of these broke the order of writing before sending.
-func TestFleetOnABadStore(t *testing.T) {
+// No limit may be exceeded while the store fails, loses and delays calls and nodes die,
+// restart and are partitioned.
+func TestFleetWithFaultyStore(t *testing.T) {
 	for seed := range uint64(3) {
-		within(t, 6, func(t *testing.T, f *fleet) {
+		runFleet(t, 6, func(t *testing.T, f *fleet) {
 			f.store.SetChooser(faultkv.Random(seed+1, faultkv.Rates{
 				Refuse: 0.05, Drop: 0.05, LoseAnswer: 0.05, ApplyLate: 0.05, MaxDelay: time.Second,
 			}))
 			for round := range 12 {
-				f.offer(float64(100 + 200*(round%4)))
+				f.setDemand(float64(100 + 200*(round%4)))
 				f.run(20)
 				old := f.nodes[round]
 				if old.isDown() {
@@ -229,22 +222,22 @@
 			}
 			f.store.SetChooser(nil)
 			f.run(120)
-			if sum := f.sum(); sum < rps(1500) {
-				t.Errorf("%.0f requests/s permitted once the store is well", sum.RPS())
+			if sum := f.permittedSum(); sum < rps(1500) {
+				t.Errorf("%.0f requests/s permitted after the store recovered", sum.RPS())
 			}
 			f.store.WaitLate()
 		})
 	}
 }
 
-// decideByRank returns when one of the first two candidates decides. A node that
-// was among them while the list was short may have won at the start; it keeps
-// the lease, and both of the first then wait at the store in place of one.
-func (f *fleet) decideByRank() {
+// ensureRankedDecider returns when one of the first two candidates is the decider. A
+// lower ranked one may hold the lease since the start, and then one more candidate
+// polls the store.
+func (f *fleet) ensureRankedDecider() {
 	const firstRanks = 2
 	name := f.account.Name
 	for range 5 {
-		d := f.deciding()
+		d := f.decidingNode()
 		if campaign.Rank(name, d.ref.GetVm(), d.system.candidates()) < firstRanks {
 			return
 		}
@@ -253,24 +246,23 @@
 		}
 		f.run(60)
 	}
-	f.t.Fatal("none of the first candidates decides")
+	f.t.Fatal("none of the first candidates is the decider")
 }
 
-// The store's rates grow more slowly than the fleet. The calls of an account
-// must not depend on the number of nodes.
+// The store calls of an account must not depend on the number of nodes.
 func TestStoreCallsDoNotGrowWithNodes(t *testing.T) {
 	const seconds = 300
 	calls := make(map[int]int)
 	for _, size := range []int{4, 16, 64} {
-		within(t, size, func(t *testing.T, f *fleet) {
-			f.offer(400 / float64(size))
-			f.decideByRank()
+		runFleet(t, size, func(t *testing.T, f *fleet) {
+			f.setDemand(400 / float64(size))
+			f.ensureRankedDecider()
 			f.run(60)
 			began := f.usage()
 			f.run(seconds)
 			used := f.usage().sub(began)
 			calls[size] = used.store
-			t.Logf("%d nodes: %.2f store calls/s, %.2f writes/s, a node %.2f calls/s and %.0f bytes/s", size,
+			t.Logf("%d nodes: %.2f store calls/s, %.2f writes/s, per node %.2f calls/s and %.0f bytes/s", size,
 				float64(used.store)/seconds, float64(used.writes)/seconds,
 				float64(used.calls)/seconds/float64(size), float64(used.bytes)/seconds/float64(size))
 		})
