--- a/control/account.go
+++ b/control/account.go
@@ -34,8 +34,8 @@
 	unreported observe.Report
 	// publishedEpoch is the epoch for which this node last published its address.
 	publishedEpoch uint64
-	// lastReallocation is the time of the last reallocation out of turn; only Run
-	// uses it.
+	// lastReallocation is the time of the last immediate reallocation; only Run uses
+	// it.
 	lastReallocation time.Time
 	// stepping is true while a step runs, stopped after Stop.
 	stepping, stopped atomic.Bool
@@ -133,7 +133,7 @@
 	_ = a.campaign.Resign(ctx)
 }
 
-// requestReallocation requests a reallocation out of turn. If the queue is full, the
+// requestReallocation requests an immediate reallocation. If the queue is full, the
 // next step serves the waiting nodes.
 func (a *account) requestReallocation() {
 	select {
@@ -161,15 +161,15 @@
 }
 
 const (
-	// minReallocationInterval is the shortest time between two reallocations out of
-	// turn. It limits the ledger writes that shortages cause.
+	// minReallocationInterval is the shortest time between two immediate
+	// reallocations. It limits the ledger writes that shortages cause.
 	minReallocationInterval = time.Second
 	// reallocationDelay lets reports of other nodes with the same shortage arrive
 	// before a reallocation.
 	reallocationDelay = 50 * time.Millisecond
 )
 
-// reallocate runs a reallocation out of turn.
+// reallocate runs an immediate reallocation.
 func (a *account) reallocate(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/control/ledger/issue.go
+++ b/control/ledger/issue.go
@@ -75,11 +75,10 @@
 	FirstSequence uint64
 }
 
-// Issue returns the set to send in response to a report. Its amounts are covered
-// by the stored ledger, and its surplus counts as in force from now for the TTL
-// plus the margin. now must be read after the report was received and before the
-// lease was checked: if the lease was lost in between, the surplus then still
-// expires within the successor's wait.
+// Issue returns the set to send in response to a report. The stored ledger covers its
+// amounts, and its surplus counts as in force from now. now must be read after the
+// report was received and before the lease was checked, so that a surplus issued
+// without a lease still expires within the successor's wait.
 func (l *Ledger) Issue(id grant.NodeID, now time.Time) (IssuedSet, bool) {
 	h := l.nodes[id]
 	if h == nil || !l.rewritten {
--- a/control/ledger/remove.go
+++ b/control/ledger/remove.go
@@ -11,12 +11,10 @@
 	VM, Address string
 }
 
-// ObserveVMs records a VM list that was read at readAt; sequence must be positive.
-// A list older than one that contained a node does not count as evidence that
-// the node has ended: it may predate the VM.
-//
-// The time of the reading counts, not that of the call: during an outage of the
-// list service the same reading is passed repeatedly, and the VM may be back.
+// ObserveVMs records a VM list that was read at readAt; sequence must be positive. A
+// list older than one that contained a node is no evidence that the node has ended.
+// readAt counts, not the time of the call: during an outage of the list service the
+// same reading is passed repeatedly, and the VM may be back.
 func (l *Ledger) ObserveVMs(list []ListedVM, sequence uint64, readAt time.Time) {
 	listed := make(map[ListedVM]bool, len(list))
 	for _, v := range list {
@@ -83,10 +81,9 @@
 }
 
 // replacedOnSameVM reports whether another incarnation on the same VM has been in
-// contact for the removal time while this one was not. The VM stays listed, so
-// the list can never show that this incarnation ended. Both share the VM's
-// network, so it has ended or is paused, and a process paused for that long
-// drops its floors.
+// contact for the removal time while this one was not. Both share the VM's network, so
+// this one has ended or is paused long enough to drop its floors. The VM list cannot
+// show that, because the VM stays listed.
 func (l *Ledger) replacedOnSameVM(h *nodeGrants, now time.Time, wait time.Duration) bool {
 	for _, o := range l.order {
 		if o == h || o.node.ID.VM != h.node.ID.VM || o.node.Address != h.node.Address {
--- a/control/system.go
+++ b/control/system.go
@@ -23,8 +23,8 @@
 	options Options
 	refBody []byte
 
-	// shortages wakes Run for early reports, reallocations for reallocations out of
-	// turn.
+	// shortages wakes Run for early reports, reallocations for immediate
+	// reallocations.
 	shortages     chan struct{}
 	reallocations chan *account
 	// reportRequests wakes Run when a decider requests a report.
@@ -156,7 +156,7 @@
 	s.running.Go(func() { a.holder.Report(ctx, report, s.options.AdmissionClosed()) })
 }
 
-// startReallocation starts a reallocation out of turn unless one was made recently.
+// startReallocation starts an immediate reallocation unless one was made recently.
 // During a step it is delayed, because that step may have begun before the report
 // that requested it.
 func (s *System) startReallocation(ctx context.Context, a *account) {
