--- a/control/modelcheck/planted_test.go
+++ b/control/modelcheck/injected_fault_test.go
@@ -8,12 +8,12 @@
 	"github.com/yuccaroute/yuccaroute/control/internal/fault"
 )
 
-// runSeed plays one run of random actions and returns what was violated.
+// runSeed runs random actions until an invariant is violated or the run ends.
 func runSeed(faults fault.Set, seed uint64, actions []action) *world {
 	w := newWorld(faults, seed)
 	c := newSeedChooser(seed)
 	w.run(20 * time.Second)
-	for range runActions {
+	for range actionsPerRun {
 		actions[c.choose(len(actions), "action")].run(w, c)
 		if w.violation != "" {
 			break
@@ -22,36 +22,33 @@
 	return w
 }
 
-const runActions = 120
+const actionsPerRun = 120
 
-// search is how many seeds TestPlantedErrorsAreCaught tries for each error in
-// place of the listed one. Use it to find the seeds anew after a change of the
-// protocol or of this package:
+// search is how many seeds TestInjectedFaultsAreDetected tries per fault in place of the
+// listed one. It finds new seeds after a change of the protocol or of this package:
 //
-//	go test ./control/modelcheck -run TestPlantedErrorsAreCaught -v -planted.search=500
-var search = flag.Uint64("planted.search", 0, "seeds to try for each planted error")
+//	go test ./control/modelcheck -run TestInjectedFaultsAreDetected -v -planted.search=500
+var search = flag.Uint64("planted.search", 0, "seeds to try for each injected fault")
 
-// A check that cannot fail proves nothing. Each classic error of such a
-// protocol is planted in the real code; the check must notice it, and must
-// find nothing in the same run without it.
-func TestPlantedErrorsAreCaught(t *testing.T) {
-	for _, p := range plantedErrors {
+// Each injected fault must violate an invariant, and the same run without it must not.
+func TestInjectedFaultsAreDetected(t *testing.T) {
+	for _, p := range injectedFaults {
 		t.Run(p.name, func(t *testing.T) {
 			t.Parallel()
-			seed := p.find()
+			seed := p.findSeed()
 			w := runSeed(p.faults, seed, p.actions())
 			if w.violation == "" {
-				t.Fatalf("not caught with seed %d", seed)
+				t.Fatalf("not detected with seed %d", seed)
 			}
 			t.Logf("seed %d: %s", seed, w.violation)
 			if w = runSeed(fault.Set{}, seed, p.actions()); w.violation != "" {
-				t.Fatalf("violated without the error: %s", w.violation)
+				t.Fatalf("violated without the fault: %s", w.violation)
 			}
 		})
 	}
 }
 
-func (p planted) find() uint64 {
+func (p injectedFault) findSeed() uint64 {
 	for seed := uint64(1); seed <= *search; seed++ {
 		if runSeed(p.faults, seed, p.actions()).violation != "" {
 			return seed
@@ -60,29 +57,29 @@
 	return p.seed
 }
 
-type planted struct {
+type injectedFault struct {
 	name   string
 	faults fault.Set
 	// configured adds changes of capacity.
 	configured bool
 	// lowering makes late writes that lower grants frequent.
 	lowering bool
-	// seed is that of a run in which the check notices the error.
+	// seed selects a run in which the fault is detected.
 	seed uint64
 }
 
-func (p planted) actions() []action {
+func (p injectedFault) actions() []action {
 	switch {
 	case p.configured:
-		return append([]action{{"capacity", lowerCapacity}}, actions...)
+		return append([]action{{"capacity", changeCapacity}}, actions...)
 	case p.lowering:
-		return append([]action{{"late lower", lateLower}, {"late lower again", lateLower}, {"late lower once more", lateLower}}, actions...)
+		return append([]action{{"late lower", lateReduction}, {"late lower again", lateReduction}, {"late lower once more", lateReduction}}, actions...)
 	default:
 		return actions
 	}
 }
 
-var plantedErrors = []planted{
+var injectedFaults = []injectedFault{
 	{name: "no token check", faults: fault.Set{NoTokenCheck: true}, seed: 121},
 	{name: "expiry from receipt", faults: fault.Set{ExpiryFromReceipt: true}, seed: 462},
 	{name: "no clock margin", faults: fault.Set{NoClockMargin: true}, seed: 350},
--- a/control/modelcheck/invariant_test.go
+++ b/control/modelcheck/invariant_test.go
@@ -11,9 +11,8 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// check sums what the admissions of all processes that have not ended would
-// permit now, each by its own clock. A paused one counts: it may go on at any
-// moment.
+// check verifies the limits for the load that all live processes would permit now,
+// each by its own clock. Paused processes count because they may resume at any time.
 func (w *world) check() {
 	use := ledger.NewUsage()
 	for _, p := range w.processes {
@@ -28,24 +27,23 @@
 		w.peak = max(w.peak, a)
 	}
 	if err := use.Check(w.limits()); err != nil {
-		w.fail("permitted: %v", err)
+		w.fail("permitted load: %v", err)
 	}
-	if w.counted == nil {
+	if w.storedUsage == nil {
 		return
 	}
-	if err := within(use, w.counted); err != "" {
-		w.fail("permitted more than the stored ledger counts: %s", err)
+	if err := exceeded(use, w.storedUsage); err != "" {
+		w.fail("permitted load exceeds the stored ledger: %s", err)
 	}
 }
 
 func regionOf(p *process) model.RegionName { return model.RegionName(p.ref.Region) }
 
-// limits are the largest capacities there ever were. After an operator lowered
-// one, checkRecord watches that nothing is raised.
-func (w *world) limits() *ledger.Limits { return w.largest }
+// limits returns the largest capacities of all revisions. checkRecord verifies that
+// nothing is raised above a lowered capacity.
+func (w *world) limits() *ledger.Limits { return w.maxLimits }
 
-// recordOf sums what a stored ledger counts.
-func recordOf(value []byte) *peerpb.LedgerRecord {
+func decodeRecord(value []byte) *peerpb.LedgerRecord {
 	record := &peerpb.LedgerRecord{}
 	if err := proto.Unmarshal(value, record); err != nil {
 		panic(err)
@@ -53,7 +51,7 @@
 	return record
 }
 
-func useOf(record *peerpb.LedgerRecord, limits *ledger.Limits) *ledger.Usage {
+func usageOf(record *peerpb.LedgerRecord, limits *ledger.Limits) *ledger.Usage {
 	use := ledger.NewUsage()
 	for _, n := range record.Nodes {
 		for k, key := range record.Keys {
@@ -71,66 +69,66 @@
 	return use
 }
 
-// within names what passes the sums of the stored ledger, "" for nothing.
-func within(use, counted *ledger.Usage) string {
+// exceeded names a sum in use that exceeds the stored ledger, "" if there is none.
+func exceeded(use, counted *ledger.Usage) string {
 	for key, a := range use.Keys {
-		if a > counted.Keys[key]+slack {
+		if a > counted.Keys[key]+roundingSlack {
 			return string(key.Place)
 		}
 	}
 	for r, a := range use.Regions {
-		if a > counted.Regions[r]+slack {
+		if a > counted.Regions[r]+roundingSlack {
 			return string(r)
 		}
 	}
 	for r, a := range use.Links {
-		if a > counted.Links[r]+slack {
+		if a > counted.Links[r]+roundingSlack {
 			return "link into " + string(r)
 		}
 	}
 	return ""
 }
 
-// slack allows for rounding when amounts are summed as requests per second.
-const slack = 10
+// roundingSlack allows for rounding when amounts are converted from requests per second.
+const roundingSlack = 10
 
-// checkRecord watches the writes: a newer epoch or write number, a
-// configuration that is not older, and nothing raised over a capacity.
+// checkRecord verifies a write of the ledger: neither its epoch nor its configuration
+// is older, and nothing is raised above a capacity.
 func (w *world) checkRecord(before, after []byte) {
-	next := recordOf(after)
-	w.counted = useOf(next, w.limits())
+	next := decodeRecord(after)
+	w.storedUsage = usageOf(next, w.limits())
 	w.terms = max(w.terms, next.Epoch)
 	limits := ledger.NewLimits(w.accounts[min(int(next.ConfigRevision), len(w.accounts))-1])
-	use := useOf(next, limits)
+	use := usageOf(next, limits)
 	if len(before) == 0 {
 		return
 	}
-	old := recordOf(before)
+	old := decodeRecord(before)
 	if next.Epoch < old.Epoch {
-		w.fail("a write of epoch %d over one of %d", next.Epoch, old.Epoch)
+		w.fail("write of epoch %d over epoch %d", next.Epoch, old.Epoch)
 	}
 	if next.ConfigRevision < old.ConfigRevision {
-		w.fail("a write by configuration %d over one by %d", next.ConfigRevision, old.ConfigRevision)
+		w.fail("write by configuration %d over configuration %d", next.ConfigRevision, old.ConfigRevision)
 	}
-	previous := useOf(old, limits)
+	previous := usageOf(old, limits)
 	for key, a := range use.Keys {
-		if a > max(limits.Capacity(key), previous.Keys[key])+slack {
-			w.fail("raised %s over its capacity", key.Place)
+		if a > max(limits.Capacity(key), previous.Keys[key])+roundingSlack {
+			w.fail("raised %s above its capacity", key.Place)
 		}
 	}
 	for r, a := range use.Regions {
-		if a > max(limits.Region(r).Capacity, previous.Regions[r])+slack {
-			w.fail("raised region %s over its capacity", r)
+		if a > max(limits.Region(r).Capacity, previous.Regions[r])+roundingSlack {
+			w.fail("raised region %s above its capacity", r)
 		}
 	}
 	for r, a := range use.Links {
-		if a > max(limits.Region(r).LinkIn, previous.Links[r])+slack {
-			w.fail("raised the link into %s over its capacity", r)
+		if a > max(limits.Region(r).LinkIn, previous.Links[r])+roundingSlack {
+			w.fail("raised the link into %s above its capacity", r)
 		}
 	}
 }
 
-// movedShare is a part of the traffic that a plan given out moved.
+// movedShare is the share of traffic that a published plan moved.
 type movedShare struct {
 	at  time.Time
 	ppm uint32
@@ -138,15 +136,15 @@
 
 type planVersion struct{ epoch, sequence uint64 }
 
-// planned takes a plan that was given out and sums the moves of the last
-// window, whoever decided them.
-func (w *world) planned(p *plan.Plan) {
+// recordPlan records a published plan and verifies the move cap over the last window,
+// across deciders.
+func (w *world) recordPlan(p *plan.Plan) {
 	version := planVersion{p.Epoch, p.Sequence}
 	if version.epoch < w.lastPlan.epoch || version.epoch == w.lastPlan.epoch && version.sequence <= w.lastPlan.sequence {
 		return
 	}
 	w.lastPlan = version
-	w.moved = append(w.moved, movedShare{at: w.now, ppm: w.movedBy(p)})
+	w.moved = append(w.moved, movedShare{at: w.now, ppm: w.largestMove(p)})
 	moves := w.accounts[0].Moves
 	sum := uint32(0)
 	for _, m := range w.moved {
@@ -155,12 +153,12 @@
 		}
 	}
 	if limit := uint32(moves.Share * plan.Whole); sum > limit {
-		w.fail("moved %d ppm in a window of %d", sum, limit)
+		w.fail("moved %d ppm in a window, limit %d", sum, limit)
 	}
 }
 
-// movedBy is the largest part that a plan moves of any flow.
-func (w *world) movedBy(p *plan.Plan) uint32 {
+// largestMove returns the largest share that a plan moves in any flow.
+func (w *world) largestMove(p *plan.Plan) uint32 {
 	var most uint32
 	for _, f := range p.Flows {
 		sum := uint32(0)
--- a/control/modelcheck/kv_test.go
+++ b/control/modelcheck/kv_test.go
@@ -6,20 +6,20 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// leaseTTL is the time to live of the decider's lease, by the store's clock;
-// the holder judges its own by leaseTTL less leaseMargin.
+// leaseTTL is the TTL of the decider's lease on the store's clock. The lease holder
+// considers it valid for leaseTTL less leaseMargin.
 const (
 	leaseTTL    = 10 * time.Second
 	leaseMargin = time.Second
 )
 
-// kv is the store: one lease and one ledger. Calls are applied when the world
-// says so, which may be long after they were sent.
+// kv simulates the store, with one lease and one ledger. The world decides when a call
+// is applied, which may be long after it was sent.
 type kv struct {
 	revision store.Revision
 	out      bool
 	ledger   store.Entry
-	// holder has the lease until expires.
+	// holder holds the lease until expires.
 	holder  *process
 	epoch   uint64
 	expires time.Time
--- a/control/modelcheck/message_test.go
+++ b/control/modelcheck/message_test.go
@@ -8,13 +8,11 @@
 	"github.com/yuccaroute/yuccaroute/control/holder"
 )
 
-// message is anything under way: a call to the store, a report, a loan, or
-// the answer to one. run is its effect at the receiver.
+// message is a call, a response or a local timer in flight.
 type message struct {
 	due      time.Time
 	from, to *process
-	// life is that of the receiver when it was sent: what is addressed to a
-	// process that ended reaches nobody.
+	// run is the effect at the receiver. It is dropped if the receiver has ended.
 	run func()
 }
 
@@ -24,9 +22,9 @@
 	sent    holder.SentRequest
 }
 
-// send puts a message under way. Most arrive soon, some late, some never.
+// send puts a message in flight, unless it is lost.
 func (w *world) send(from, to *process, run func()) {
-	if w.chance(lossPercent) {
+	if w.randomPercent(lossPercent) {
 		return
 	}
 	w.messages = append(w.messages, message{due: w.now.Add(w.delay()), from: from, to: to, run: run})
@@ -38,28 +36,28 @@
 	slowPercent = 12
 )
 
-// delay draws how long something takes.
+// delay returns a random network delay.
 func (w *world) delay() time.Duration {
-	if w.chance(latePercent) {
+	if w.randomPercent(latePercent) {
 		return time.Duration(w.random.IntN(60_000)) * time.Millisecond
 	}
-	if w.chance(slowPercent) {
+	if w.randomPercent(slowPercent) {
 		return time.Duration(w.random.IntN(3_000)) * time.Millisecond
 	}
 	return time.Duration(w.random.IntN(300)) * time.Millisecond
 }
 
-// writeDelay draws how long a call is under way to the store.
+// writeDelay returns a random delay of a call to the store.
 func (w *world) writeDelay() time.Duration {
-	if w.now.Before(w.slowUntil) && w.chance(50) {
+	if w.now.Before(w.slowUntil) && w.randomPercent(50) {
 		return time.Duration(5_000+w.random.IntN(35_000)) * time.Millisecond
 	}
 	return w.delay()
 }
 
-func (w *world) chance(percent int) bool { return w.random.IntN(100) < percent }
+func (w *world) randomPercent(percent int) bool { return w.random.IntN(100) < percent }
 
-// deliver runs what has arrived. A paused receiver finds it when it goes on.
+// deliver runs the messages that are due. Messages to a paused process wait.
 func (w *world) deliver() {
 	waiting := w.messages
 	w.messages = nil
@@ -74,31 +72,31 @@
 	}
 }
 
-// connected reports whether two processes reach each other.
+// connected reports whether two processes can reach each other.
 func (w *world) connected(a, b *process) bool {
 	return a == b || a.side == b.side
 }
 
-// call sends a call to the store. apply runs there; its answer is given to
-// answer unless it is lost. Refused tells the caller that the store did not
-// take the call; a caller whose answer is lost is told after the call timeout.
+// call sends a call to the store. apply runs there, and the function it returns runs at
+// the caller unless the response is lost. refused runs if the store rejects the call,
+// unknown after the call timeout if there is no response.
 func (w *world) call(p *process, apply func() (answer func()), refused, unknown func()) {
 	timeout := w.now.Add(callTimeout)
 	if w.kv.out || p.storeCut {
-		// A store that is out refuses, or keeps silent.
-		if w.chance(50) {
+		// During an outage a call is refused or times out.
+		if w.randomPercent(50) {
 			w.later(p, w.now, refused)
 		} else {
 			w.later(p, timeout, unknown)
 		}
 		return
 	}
-	if w.chance(lossPercent) {
+	if w.randomPercent(lossPercent) {
 		w.later(p, timeout, unknown)
 		return
 	}
 	arrives := w.now.Add(w.writeDelay())
-	lost := w.chance(lossPercent) || arrives.After(timeout)
+	lost := w.randomPercent(lossPercent) || arrives.After(timeout)
 	if lost {
 		w.later(p, timeout, unknown)
 	}
@@ -110,7 +108,7 @@
 	}})
 }
 
-// later runs something at a process, at the earliest at a time.
+// later runs a function at a process, not before the given time.
 func (w *world) later(p *process, at time.Time, run func()) {
 	w.messages = append(w.messages, message{due: at, from: p, to: p, run: run})
 }
--- a/control/modelcheck/model_test.go
+++ b/control/modelcheck/model_test.go
@@ -11,10 +11,9 @@
 	"github.com/yuccaroute/yuccaroute/control/internal/fault"
 )
 
-// TestMain fixes the seed, so that each run has the same verdict. A long run
-// with another seed:
+// TestMain fixes the seed so that runs are reproducible. A long run with another seed:
 //
-//	go test ./control/modelcheck -run TestNoCapacityIsPassed -rapid.seed=N -rapid.checks=100000 -timeout 0
+//	go test ./control/modelcheck -run TestCapacityNeverExceeded -rapid.seed=N -rapid.checks=100000 -timeout 0
 func TestMain(m *testing.M) {
 	setDefault("rapid.seed", "20260101")
 	setDefault("rapid.checks", "150")
@@ -30,21 +29,20 @@
 	}
 }
 
-// Nodes, deciders and the store go through any order of faults. A user would
-// see a region pushed past its capacity, or more traffic moved than the cap.
-func TestNoCapacityIsPassed(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) { machine(rt, actions) })
+// No random order of faults may let the fleet exceed a capacity or the move cap.
+func TestCapacityNeverExceeded(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) { runMachine(rt, actions) })
 }
 
-// The same while an operator changes capacities, with nodes that learn of it
-// at different times.
-func TestNoRaiseWhileCapacitiesChange(t *testing.T) {
+// The invariants hold while an operator changes capacities and nodes learn of it at
+// different times.
+func TestNoRaiseAboveChangedCapacity(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		machine(rt, append([]action{{"capacity", lowerCapacity}}, actions...))
+		runMachine(rt, append([]action{{"capacity", changeCapacity}}, actions...))
 	})
 }
 
-func machine(rt *rapid.T, actions []action) {
+func runMachine(rt *rapid.T, actions []action) {
 	w := newWorld(fault.Set{}, rapid.Uint64().Draw(rt, "world"))
 	c := rapidChooser{rt}
 	w.run(20 * time.Second)
--- a/control/modelcheck/wanderer_test.go
+++ b/control/modelcheck/oscillating_planner_test.go
@@ -8,11 +8,11 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// wanderer is a Planner that wants to move all traffic to and fro without end
-// and is held only by the cap. It keeps the cap over the moves it is told of.
-type wanderer struct{}
+// oscillatingPlanner moves traffic back and forth as fast as the move cap over the
+// reported moves allows.
+type oscillatingPlanner struct{}
 
-func (wanderer) Plan(s decider.PlannerInput) decider.PlannerOutput {
+func (oscillatingPlanner) Plan(s decider.PlannerInput) decider.PlannerOutput {
 	var planned decider.PlannerOutput
 	for _, r := range s.Account.Regions {
 		planned.Flows = append(planned.Flows, plan.Flow{
@@ -29,14 +29,14 @@
 		if old := s.Previous.Flow(f.Service, f.Caller); old != nil {
 			f.Shares = append([]plan.Share(nil), old.Shares...)
 		}
-		wander(f, budget(s, f), s.Now, &planned)
+		moveTraffic(f, remainingMoves(s, f), s.Now, &planned)
 	}
 	return planned
 }
 
-// budget is what the cap leaves of the window, its length stretched by the
-// margin for clock rates.
-func budget(s decider.PlannerInput, f *plan.Flow) uint32 {
+// remainingMoves returns what the move cap leaves of the window, extended by the clock
+// margin.
+func remainingMoves(s decider.PlannerInput, f *plan.Flow) uint32 {
 	window := ledger.DefaultParams().WithMargin(s.Account.Moves.Window)
 	left := int64(s.Account.Moves.Share * plan.Whole)
 	for _, m := range s.Moves {
@@ -47,12 +47,12 @@
 	return uint32(max(left, 0))
 }
 
-const period = 2 * time.Minute
+const oscillationPeriod = 2 * time.Minute
 
-// wander moves towards one place and then the other.
-func wander(f *plan.Flow, budget uint32, now time.Time, planned *decider.PlannerOutput) {
+// moveTraffic moves traffic to one of two places, which alternate.
+func moveTraffic(f *plan.Flow, budget uint32, now time.Time, planned *decider.PlannerOutput) {
 	to, from := 0, 1
-	if now.UnixNano()/int64(period)%2 == 0 {
+	if now.UnixNano()/int64(oscillationPeriod)%2 == 0 {
 		to, from = 1, 0
 	}
 	step := min(budget, f.Shares[from].PPM)
--- a/control/modelcheck/process_test.go
+++ b/control/modelcheck/process_test.go
@@ -12,140 +12,140 @@
 	"github.com/yuccaroute/yuccaroute/control/ledger"
 )
 
-// process is one life of a node.
+// process is one incarnation of a node.
 type process struct {
 	w    *world
 	ref  *peerpb.NodeRef
 	id   grant.NodeID
 	born time.Time
-	// rate is how fast its clock runs, in thousandths.
+	// rate is the rate of its clock in thousandths.
 	rate   int
 	paused bool
-	// pausedAt is when the pause began.
+	// pausedAt is the start of the pause.
 	pausedAt time.Time
 	ended    bool
-	// side is its side of a partition; storeCut cuts it off from the store.
+	// side is its side of a partition; storeCut disconnects it from the store.
 	side     int
 	storeCut bool
-	// deaf cuts it off from the deciders, but not from other nodes.
-	deaf   bool
-	holder *holder.Core
-	told   holder.ReportTracker
-	// asked is the report under way.
-	asked    *renewCall
-	askedAt  time.Time
-	nextAsk  time.Time
-	lender   int
-	transfer uint64
-	// known is the decider it last heard of, configured and list what it has
-	// of the configuration and the VM list.
-	known      published
-	configured int
-	list       int
-	// learns is the chance, in percent, to read a newer list in a step.
-	learns int
-	// offered is the demand in front of it.
+	// cutFromDeciders disconnects it from the deciders but not from other nodes.
+	cutFromDeciders bool
+	holder          *holder.Core
+	tracker         holder.ReportTracker
+	// pendingReport is the report in flight.
+	pendingReport *renewCall
+	pendingSince  time.Time
+	nextReport    time.Time
+	nextLender    int
+	transfer      uint64
+	// knownDecider is the last decider it learned of; configured and listIndex are
+	// its versions of the configuration and the VM list.
+	knownDecider publishedDecider
+	configured   int
+	listIndex    int
+	// listReadPercent is the probability of reading a newer list in a step.
+	listReadPercent int
+	// offered is the demand on it.
 	offered float64
-	// The decider's side.
-	epoch     uint64
-	validTill time.Time
-	core      *decider.Core
-	calling   bool
-	renewing  bool
-	campaigns bool
-	// waiting are reports whose answers wait for the next step.
-	waiting []waiter
-	// epochSeen is the highest epoch it applied a set of.
-	epochSeen uint64
+	// The fields below belong to the decider.
+	epoch             uint64
+	leaseValidUntil   time.Time
+	core              *decider.Core
+	ledgerCallPending bool
+	leaseCallPending  bool
+	campaigns         bool
+	// heldReports wait for the next step to be answered.
+	heldReports []heldReport
+	// highestEpoch is the highest epoch of an applied set.
+	highestEpoch uint64
 }
 
-// waiter is a report that a decider has taken in and not answered yet.
-type waiter struct {
+// heldReport is a report that the decider has recorded and not answered.
+type heldReport struct {
 	core *decider.Core
 	from *process
 	call *renewCall
 }
 
-// local is the process's own clock.
-func (p *process) local() time.Time {
+// localTime returns the time on the process's own clock.
+func (p *process) localTime() time.Time {
 	elapsed := p.w.now.Sub(p.born)
 	return p.born.Add(elapsed * time.Duration(p.rate) / 1000)
 }
 
-// held is the lease as the process judges it.
-func (p *process) held() bool { return p.epoch != 0 && p.local().Before(p.validTill) }
+// leaseHeld reports whether the process considers its lease valid.
+func (p *process) leaseHeld() bool { return p.epoch != 0 && p.localTime().Before(p.leaseValidUntil) }
 
-// poll is what a running process does all the time.
-func (p *process) poll() {
-	if p.w.chance(2) {
+// step runs the periodic work of a running process.
+func (p *process) step() {
+	if p.w.randomPercent(2) {
 		p.offered = float64(p.w.random.IntN(4) * 60)
 	}
-	p.holder.Tick(p.local())
-	p.learn()
-	p.ask()
+	p.holder.Tick(p.localTime())
+	p.readUpdates()
+	p.sendReport()
 	p.campaign()
-	p.decide()
+	p.decideStep()
 }
 
-// learn takes in what reaches it by other ways, with a lag.
-func (p *process) learn() {
-	if p.w.chance(20) && p.w.published.epoch > p.known.epoch {
-		p.known = p.w.published
-		p.holder.ObserveEpoch(p.known.epoch)
+// readUpdates updates the decider, the configuration and the VM list, with a delay.
+func (p *process) readUpdates() {
+	if p.w.randomPercent(20) && p.w.published.epoch > p.knownDecider.epoch {
+		p.knownDecider = p.w.published
+		p.holder.ObserveEpoch(p.knownDecider.epoch)
 	}
-	if p.w.chance(3) && p.configured < len(p.w.accounts)-1 {
+	if p.w.randomPercent(3) && p.configured < len(p.w.accounts)-1 {
 		p.configured++
 	}
-	for p.list < len(p.w.lists)-1 && (p.w.chance(p.learns) || p.behind()) {
-		p.list++
-		p.observe()
+	for p.listIndex < len(p.w.lists)-1 && (p.w.randomPercent(p.listReadPercent) || p.listLagExceeded()) {
+		p.listIndex++
+		p.observeVMs()
 	}
 }
 
-// impatientPercent is how often a process asks again before the time for the
-// last answer is over, so that answers overtake each other.
-const impatientPercent = 5
+// earlyRetryPercent is how often a process retries before the timeout, so that responses
+// arrive out of order.
+const earlyRetryPercent = 5
 
-// idlePercent is how many reports are followed by a long time without one,
-// idleTime, as when nothing changes at a node.
+// idlePercent is how often a report is followed by idleTime without one, as with steady
+// demand.
 const (
 	idlePercent = 20
 	idleTime    = 10 * time.Second
 )
 
-// shortPercent is how many reports tell that requests wait.
+// shortPercent is how often a report signals a shortage.
 const shortPercent = 20
 
-// behind reports whether the list must not lag any longer.
-func (p *process) behind() bool {
-	return p.w.falseDrops && p.w.now.Sub(p.w.lists[p.list+1].at) >= mostLag
+// listLagExceeded reports whether the VM list has reached its largest lag.
+func (p *process) listLagExceeded() bool {
+	return p.w.dropsPausedVMs && p.w.now.Sub(p.w.lists[p.listIndex+1].at) >= maxListLag
 }
 
-// observe gives the decider the state of the list that the process has.
-func (p *process) observe() {
+// observeVMs passes the process's VM list to its decider.
+func (p *process) observeVMs() {
 	if p.core != nil {
-		shown := p.w.lists[p.list]
-		p.core.ObserveVMs(shown.vms, shown.sequence, p.local())
+		list := p.w.lists[p.listIndex]
+		p.core.ObserveVMs(list.vms, list.sequence, p.localTime())
 	}
 }
 
-// ask sends the report that is due.
-func (p *process) ask() {
-	now := p.local()
-	if p.asked != nil && (now.Sub(p.askedAt) >= p.w.holderOptions.RequestTimeout || p.w.chance(impatientPercent)) {
-		p.asked = nil
-		p.told.Reset()
+// sendReport sends a report if one is due.
+func (p *process) sendReport() {
+	now := p.localTime()
+	if p.pendingReport != nil && (now.Sub(p.pendingSince) >= p.w.holderOptions.RequestTimeout || p.w.randomPercent(earlyRetryPercent)) {
+		p.pendingReport = nil
+		p.tracker.Reset()
 		p.borrow()
 	}
-	if p.asked != nil || now.Before(p.nextAsk) {
+	if p.pendingReport != nil || now.Before(p.nextReport) {
 		return
 	}
-	p.nextAsk = now.Add(time.Second)
-	if p.w.chance(idlePercent) {
-		p.nextAsk = now.Add(idleTime)
+	p.nextReport = now.Add(time.Second)
+	if p.w.randomPercent(idlePercent) {
+		p.nextReport = now.Add(idleTime)
 	}
-	target := p.known.process
-	if p.held() {
+	target := p.knownDecider.process
+	if p.leaseHeld() {
 		target = p
 	}
 	if target == nil {
@@ -153,23 +153,23 @@
 		return
 	}
 	sent := p.holder.StartRequest(now)
-	report := p.measured()
+	report := p.buildReport()
 	request := holder.NewRequest(report)
 	request.Node = p.ref
 	request.AppliedEpoch, request.AppliedSequence, request.GrantNames = sent.Epoch, sent.Sequence, sent.GrantNames
 	request.Stopped = p.holder.Stopped(now)
-	request.Short = p.w.chance(shortPercent)
-	p.told.OmitKnown(request, report, p.holder.Set(), now)
+	request.Short = p.w.randomPercent(shortPercent)
+	p.tracker.OmitKnown(request, report, p.holder.Set(), now)
 	call := &renewCall{sent: sent, request: request, report: report}
-	p.asked = call
-	p.askedAt = now
-	if !p.deaf {
-		p.w.send(p, target, func() { target.renew(p, call) })
+	p.pendingReport = call
+	p.pendingSince = now
+	if !p.cutFromDeciders {
+		p.w.send(p, target, func() { target.handleReport(p, call) })
 	}
 }
 
-// measured is a report of the demand in front of the process.
-func (p *process) measured() observe.Report {
+// buildReport returns a report of the demand on the process.
+func (p *process) buildReport() observe.Report {
 	var r observe.Report
 	for _, region := range p.w.account(0).Regions {
 		r.Flows = append(r.Flows, observe.FlowDemand{Service: service, Caller: region.Name, OfferedRPS: p.offered})
@@ -177,83 +177,83 @@
 	return r
 }
 
-// renew is the decider's answer. The lease is checked after the report came;
-// the answer may then be under way for any time.
-func (p *process) renew(from *process, call *renewCall) {
-	if !p.held() || p.core == nil || p.core.Epoch() != p.epoch {
+// handleReport answers a report if the process is the decider. The lease is checked
+// after the report arrived; the response may then take any time.
+func (p *process) handleReport(from *process, call *renewCall) {
+	if !p.leaseHeld() || p.core == nil || p.core.Epoch() != p.epoch {
 		return
 	}
-	response, hold := p.core.RecordReport(call.request, p.local())
+	response, hold := p.core.RecordReport(call.request, p.localTime())
 	switch {
 	case response != nil:
 		p.reply(from, call, response)
 	case hold:
-		p.waiting = append(p.waiting, waiter{p.core, from, call})
-		p.relieve()
+		p.heldReports = append(p.heldReports, heldReport{p.core, from, call})
+		p.reallocate()
 	default:
-		p.reply(from, call, p.core.Respond(call.request, p.local()))
+		p.reply(from, call, p.core.Respond(call.request, p.localTime()))
 	}
 }
 
 func (p *process) reply(from *process, call *renewCall, response *peerpb.RenewResponse) {
-	p.w.send(p, from, func() { from.answered(call, response) })
+	p.w.send(p, from, func() { from.handleResponse(call, response) })
 }
 
-// relieve decides out of turn.
-func (p *process) relieve() {
-	if !p.calling {
-		p.stepped(p.core.Reallocate(p.local()))
+// reallocate runs an immediate reallocation.
+func (p *process) reallocate() {
+	if !p.ledgerCallPending {
+		p.finishStep(p.core.Reallocate(p.localTime()))
 	}
 }
 
-// stepped ends a step, after its write if there is one.
-func (p *process) stepped(write decider.Write, due bool) {
+// finishStep starts the write of a step, or answers the held reports if there is none.
+func (p *process) finishStep(write decider.Write, due bool) {
 	if due {
 		p.write(p.core, write)
 		return
 	}
-	p.answerWaiting()
+	p.answerHeldReports()
 }
 
-// answerWaiting answers the reports that were held, if the lease is held still.
-func (p *process) answerWaiting() {
-	waiting := p.waiting
-	p.waiting = nil
+// answerHeldReports answers the held reports if the lease is still held.
+func (p *process) answerHeldReports() {
+	waiting := p.heldReports
+	p.heldReports = nil
 	for _, w := range waiting {
-		if p.held() && p.core == w.core && p.core.Epoch() == p.epoch {
-			p.reply(w.from, w.call, w.core.Respond(w.call.request, p.local()))
+		if p.leaseHeld() && p.core == w.core && p.core.Epoch() == p.epoch {
+			p.reply(w.from, w.call, w.core.Respond(w.call.request, p.localTime()))
 		}
 	}
 }
 
-func (p *process) answered(call *renewCall, response *peerpb.RenewResponse) {
-	// A late answer is handed over too: the core must refuse it.
-	if p.asked == call {
-		p.asked = nil
+func (p *process) handleResponse(call *renewCall, response *peerpb.RenewResponse) {
+	// Late responses are passed on too: the core must reject them.
+	if p.pendingReport == call {
+		p.pendingReport = nil
 	}
-	if p.holder.HandleResponse(call.sent, response, p.local()) != holder.Applied {
-		p.told.Reset()
+	if p.holder.HandleResponse(call.sent, response, p.localTime()) != holder.Applied {
+		p.tracker.Reset()
 		return
 	}
-	p.told.RecordAnswer(call.request, call.report, response, call.sent.At)
+	p.tracker.RecordAnswer(call.request, call.report, response, call.sent.At)
 	p.transfer = 0
-	if response.Epoch < p.epochSeen {
-		p.w.fail("%s applied epoch %d after %d", p.id.VM, response.Epoch, p.epochSeen)
+	if response.Epoch < p.highestEpoch {
+		p.w.fail("%s applied epoch %d after %d", p.id.VM, response.Epoch, p.highestEpoch)
 	}
-	p.epochSeen = response.Epoch
+	p.highestEpoch = response.Epoch
 }
 
-// borrow asks a node of the region for a loan.
+// borrow requests a loan from another node.
 func (p *process) borrow() {
-	now := p.local()
+	now := p.localTime()
 	if !p.holder.MayBorrow(now) {
 		return
 	}
 	if p.transfer == 0 {
 		p.transfer = p.w.random.Uint64() | 1
-		p.lender++
+		p.nextLender++
 	}
-	lender := p.w.alive(p.lender)
+	lender := p.w.liveProcess(p.nextLender)
 	if lender == nil || lender == p {
 		p.transfer = 0
 		return
@@ -263,60 +263,60 @@
 		request.Wanted = append(request.Wanted, &peerpb.Grant{Service: string(key.Service), Place: string(key.Place), Floor: 30_000})
 	}
 	p.w.send(p, lender, func() {
-		response, _ := lender.holder.Lend(request, lender.local())
-		p.w.send(lender, p, func() { p.holder.HandleLoan(lender.id, now, response, p.local()) })
+		response, _ := lender.holder.Lend(request, lender.localTime())
+		p.w.send(lender, p, func() { p.holder.HandleLoan(lender.id, now, response, p.localTime()) })
 	})
 }
 
-// campaign takes and keeps the lease.
+// campaign acquires and renews the lease.
 func (p *process) campaign() {
 	w := p.w
-	if p.renewing || !p.campaigns || p.holder.Stopped(p.local()) {
+	if p.leaseCallPending || !p.campaigns || p.holder.Stopped(p.localTime()) {
 		return
 	}
-	sent := p.local()
-	done := func() { p.renewing = false }
-	if p.held() {
-		if p.validTill.Sub(sent) > 2*leaseTTL/3 {
+	sent := p.localTime()
+	done := func() { p.leaseCallPending = false }
+	if p.leaseHeld() {
+		if p.leaseValidUntil.Sub(sent) > 2*leaseTTL/3 {
 			return
 		}
-		p.renewing = true
+		p.leaseCallPending = true
 		epoch := p.epoch
 		w.call(p, func() func() {
 			ok := w.kv.keepAlive(p, epoch, w.now)
-			return func() { done(); p.extend(epoch, sent, ok) }
+			return func() { done(); p.leaseExtended(epoch, sent, ok) }
 		}, done, done)
 		return
 	}
-	if !w.chance(30) {
+	if !w.randomPercent(30) {
 		return
 	}
-	p.renewing = true
+	p.leaseCallPending = true
 	w.call(p, func() func() {
 		epoch, ok := w.kv.take(p, w.now)
-		return func() { done(); p.won(epoch, sent, ok) }
+		return func() { done(); p.leaseAcquired(epoch, sent, ok) }
 	}, done, done)
 }
 
-func (p *process) extend(epoch uint64, sent time.Time, ok bool) {
+func (p *process) leaseExtended(epoch uint64, sent time.Time, ok bool) {
 	if ok && p.epoch == epoch {
-		p.validTill = sent.Add(leaseTTL - leaseMargin)
+		p.leaseValidUntil = sent.Add(leaseTTL - leaseMargin)
 	}
 }
 
-func (p *process) won(epoch uint64, sent time.Time, ok bool) {
+func (p *process) leaseAcquired(epoch uint64, sent time.Time, ok bool) {
 	if !ok {
 		return
 	}
 	p.epoch = epoch
-	p.validTill = sent.Add(leaseTTL - leaseMargin)
-	if p.held() && epoch > p.w.published.epoch {
-		p.w.published = published{process: p, epoch: epoch}
+	p.leaseValidUntil = sent.Add(leaseTTL - leaseMargin)
+	if p.leaseHeld() && epoch > p.w.published.epoch {
+		p.w.published = publishedDecider{process: p, epoch: epoch}
 	}
 }
 
-// giveUp returns the lease.
-func (p *process) giveUp() {
+// resign releases the lease.
+func (p *process) resign() {
 	epoch := p.epoch
 	p.epoch = 0
 	p.core = nil
@@ -324,34 +324,34 @@
 	w.call(p, func() func() { w.kv.resign(p, epoch); return func() {} }, func() {}, func() {})
 }
 
-// account returns the configuration the process has.
+// account returns the process's configuration.
 func (p *process) account() *model.Account { return p.w.account(p.configured) }
 
-// decide is a step of the decider in office.
-func (p *process) decide() {
-	if !p.held() {
+// decideStep runs a step of the decider.
+func (p *process) decideStep() {
+	if !p.leaseHeld() {
 		p.core = nil
 		return
 	}
-	if p.calling {
+	if p.ledgerCallPending {
 		return
 	}
 	if p.core == nil || p.core.Epoch() != p.epoch {
 		p.takeOver()
 		return
 	}
-	p.observe()
+	p.observeVMs()
 	p.publish(p.core)
-	p.stepped(p.core.Step(p.account(), p.local()))
+	p.finishStep(p.core.Step(p.account(), p.localTime()))
 	p.hasten()
 }
 
 // hasten asks nodes to report.
 func (p *process) hasten() {
-	for _, node := range p.core.NodesToHasten(p.local()) {
+	for _, node := range p.core.NodesToHasten(p.localTime()) {
 		for _, to := range p.w.processes {
 			if to.id == node.ID {
-				p.w.send(p, to, func() { to.nextAsk = to.local() })
+				p.w.send(p, to, func() { to.nextReport = to.localTime() })
 			}
 		}
 	}
@@ -360,15 +360,15 @@
 func (p *process) takeOver() {
 	w := p.w
 	epoch := p.epoch
-	p.calling = true
-	done := func() { p.calling = false }
+	p.ledgerCallPending = true
+	done := func() { p.ledgerCallPending = false }
 	w.call(p, func() func() {
 		entry := w.kv.ledger
 		return func() {
 			done()
-			core, err := decider.NewCore(w.deciderOptions, p.account(), epoch, entry, p.local())
+			core, err := decider.NewCore(w.deciderOptions, p.account(), epoch, entry, p.localTime())
 			if err != nil {
-				p.giveUp()
+				p.resign()
 				return
 			}
 			p.core = core
@@ -378,10 +378,10 @@
 
 func (p *process) write(core *decider.Core, write decider.Write) {
 	w := p.w
-	p.calling = true
+	p.ledgerCallPending = true
 	settle := func(revision uint64, err error) {
-		p.calling = false
-		p.settled(core, revision, err)
+		p.ledgerCallPending = false
+		p.writeSettled(core, revision, err)
 	}
 	w.call(p, func() func() {
 		revision, err := w.swap(write)
@@ -389,24 +389,24 @@
 	}, func() { settle(0, errUnavailable) }, func() { settle(0, errUnknown) })
 }
 
-func (p *process) settled(core *decider.Core, revision uint64, err error) {
+func (p *process) writeSettled(core *decider.Core, revision uint64, err error) {
 	if core != p.core {
 		return
 	}
 	switch p.core.Settle(revisionOf(revision), err) {
 	case nil:
-		p.answerWaiting()
+		p.answerHeldReports()
 	case decider.ErrUnresolvedWrite:
 		p.resolve(core)
 	default:
-		p.giveUp()
+		p.resign()
 	}
 }
 
 func (p *process) resolve(core *decider.Core) {
 	w := p.w
-	p.calling = true
-	done := func() { p.calling = false }
+	p.ledgerCallPending = true
+	done := func() { p.ledgerCallPending = false }
 	w.call(p, func() func() {
 		entry := w.kv.ledger
 		return func() {
@@ -415,25 +415,25 @@
 				return
 			}
 			if core.Resolve(entry) != nil {
-				p.giveUp()
+				p.resign()
 				return
 			}
-			p.answerWaiting()
+			p.answerHeldReports()
 		}
 	}, done, done)
 }
 
-// publish gives a plan out, if the lease is held.
+// publish publishes the committed plan if the lease is held.
 func (p *process) publish(core *decider.Core) {
 	plan := core.CommittedPlan()
-	if plan == nil || !p.held() {
+	if plan == nil || !p.leaseHeld() {
 		return
 	}
-	p.w.planned(plan)
-	core.MarkPublished(p.local())
+	p.w.recordPlan(plan)
+	core.MarkPublished(p.localTime())
 }
 
-// allowed is what its admission would permit now.
+// allowed returns the load that the process would permit now.
 func (p *process) allowed(key ledger.Key) grant.Amount {
-	return p.holder.Set().Allowed(grant.Key{Account: accountName, Service: key.Service, Place: key.Place}, p.local())
+	return p.holder.Set().Allowed(grant.Key{Account: accountName, Service: key.Service, Place: key.Place}, p.localTime())
 }
--- a/control/modelcheck/world_test.go
+++ b/control/modelcheck/world_test.go
@@ -21,15 +21,15 @@
 	service     = "desk"
 	capacityRPS = 100
 	nodeCount   = 4
-	// tick is the length of a step; a process runs at least once in it.
+	// tick is the length of a step; each process runs once in it.
 	tick = 250 * time.Millisecond
-	// fastest and slowest are the clock rates, in thousandths. Their ratio is
-	// within the margin of the protocol.
+	// fastest and slowest are clock rates in thousandths. Their ratio is within the
+	// clock margin.
 	fastest, slowest = 1023, 977
 )
 
-// mostLag is below the removal time.
-const mostLag = 20 * time.Second
+// maxListLag is less than the removal time.
+const maxListLag = 20 * time.Second
 
 var (
 	errUnavailable = store.ErrUnavailable
@@ -38,96 +38,95 @@
 
 func revisionOf(r uint64) store.Revision { return store.Revision(r) }
 
-// published is a decider's address as it goes round.
-type published struct {
+// publishedDecider is the last published decider.
+type publishedDecider struct {
 	process *process
 	epoch   uint64
 }
 
-// shown is one state of the VM list.
-type shown struct {
+// vmList is one version of the VM list.
+type vmList struct {
 	vms      []ledger.ListedVM
 	sequence uint64
 	at       time.Time
 }
 
-// world is everything outside the cores: true time, the network, the store,
-// the VM list and the configuration.
+// world simulates the environment of the cores: true time, network, store, VM list and
+// configuration.
 type world struct {
 	now       time.Time
 	random    *rand.Rand
 	kv        kv
 	messages  []message
 	processes []*process
-	// vms are the names in use; a process is one life on one of them.
-	published published
+	published publishedDecider
 	accounts  []*model.Account
-	lists     []shown
-	hidden    map[string]bool
-	// falseDrops tells that the list may drop VMs that are only paused. It
-	// then lags by at most mostLag; otherwise it lags without bound.
-	falseDrops bool
-	keys       []ledger.Key
-	nextVM     int
-	nextLife   uint64
-	// plan and moves are what was given out.
+	lists     []vmList
+	unlisted  map[string]bool
+	// dropsPausedVMs lets the list drop VMs that are only paused. The list then lags
+	// by at most maxListLag; otherwise its lag is unbounded.
+	dropsPausedVMs  bool
+	keys            []ledger.Key
+	nextVM          int
+	nextIncarnation uint64
+	// moved, lastPlan and shares record the published plans.
 	moved          []movedShare
 	lastPlan       planVersion
 	shares         map[string]uint32
 	deciderOptions decider.Options
 	holderOptions  holder.Options
-	// violation is the first broken invariant.
+	// violation describes the first violated invariant.
 	violation string
-	// slowUntil is until when many calls to the store are late.
+	// slowUntil is the end of a period of slow store calls.
 	slowUntil time.Time
-	largest   *ledger.Limits
-	// counted sums the stored ledger.
-	counted *ledger.Usage
-	peak    grant.Amount
-	raises  int
-	terms   uint64
+	maxLimits *ledger.Limits
+	// storedUsage sums the stored ledger.
+	storedUsage *ledger.Usage
+	peak        grant.Amount
+	raises      int
+	terms       uint64
 }
 
 func newWorld(faults fault.Set, seed uint64) *world {
 	params := ledger.DefaultParams()
 	params.Faults = faults
 	split := allocate.DefaultParams()
-	// Everything is given out, and moves often, so that anything counted
-	// twice shows.
+	// All capacity is allocated and often moved, so that double counting violates a
+	// limit.
 	split.Unassigned = 0
 	split.RaiseThreshold = 0.75
 	w := &world{
-		now:    time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		random: rand.New(rand.NewPCG(seed, 1)),
-		hidden: make(map[string]bool),
-		shares: make(map[string]uint32),
+		now:      time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		random:   rand.New(rand.NewPCG(seed, 1)),
+		unlisted: make(map[string]bool),
+		shares:   make(map[string]uint32),
 		deciderOptions: decider.Options{
-			Ledger: params, Allocate: split, Planner: &wanderer{}, ReportsPerSecond: 1000,
+			Ledger: params, Allocate: split, Planner: &oscillatingPlanner{}, ReportsPerSecond: 1000,
 		},
 		holderOptions: holder.Options{
 			Account: accountName, Params: params,
 			RequestTimeout: holder.DefaultRequestTimeout, LendShare: 0.5,
 		},
 	}
-	w.falseDrops = w.chance(50)
+	w.dropsPausedVMs = w.randomPercent(50)
 	w.accounts = []*model.Account{testAccount(1, capacityRPS)}
-	w.largest = ledger.NewLimits(w.accounts[0])
-	w.keys = w.largest.Keys()
+	w.maxLimits = ledger.NewLimits(w.accounts[0])
+	w.keys = w.maxLimits.Keys()
 	for i := range nodeCount {
 		w.start(fmt.Sprintf("vm%d", i), fmt.Sprintf("10.0.0.%d:1", i), regionNames[i%len(regionNames)])
 	}
 	w.nextVM = nodeCount
-	w.relist()
+	w.publishVMList()
 	for _, p := range w.processes {
-		p.list = 0
+		p.listIndex = 0
 	}
 	return w
 }
 
 var regionNames = []model.RegionName{"east", "west"}
 
-// testAccount has a place in each region, which are smaller than the sum of
-// the services in them, and links that carry less than the regions.
+// testAccount returns an account with one place per region. The regions have less
+// capacity than their services, and the links less than the regions.
 func testAccount(revision uint64, rps float64) *model.Account {
 	a := &model.Account{
 		Name:     accountName,
@@ -147,22 +146,22 @@
 
 func (w *world) account(i int) *model.Account { return w.accounts[i] }
 
-// start begins a life on a VM.
+// start starts a process on a VM.
 func (w *world) start(vm, address string, region model.RegionName) *process {
-	w.nextLife++
+	w.nextIncarnation++
 	rates := []int{slowest, 1000, fastest}
 	p := &process{
-		w:          w,
-		id:         grant.NodeID{VM: vm, Incarnation: w.nextLife},
-		ref:        &peerpb.NodeRef{Vm: vm, Incarnation: w.nextLife, PeerAddress: address, Region: string(region)},
-		born:       w.now,
-		rate:       rates[w.random.IntN(len(rates))],
-		campaigns:  true,
-		offered:    float64(w.random.IntN(100)),
-		configured: len(w.accounts) - 1,
-		list:       max(len(w.lists)-1, 0),
-		learns:     []int{1, 20, 20}[w.random.IntN(3)],
-		lender:     w.random.IntN(nodeCount),
+		w:               w,
+		id:              grant.NodeID{VM: vm, Incarnation: w.nextIncarnation},
+		ref:             &peerpb.NodeRef{Vm: vm, Incarnation: w.nextIncarnation, PeerAddress: address, Region: string(region)},
+		born:            w.now,
+		rate:            rates[w.random.IntN(len(rates))],
+		campaigns:       true,
+		offered:         float64(w.random.IntN(100)),
+		configured:      len(w.accounts) - 1,
+		listIndex:       max(len(w.lists)-1, 0),
+		listReadPercent: []int{1, 20, 20}[w.random.IntN(3)],
+		nextLender:      w.random.IntN(nodeCount),
 	}
 	options := w.holderOptions
 	options.Node = p.id
@@ -172,19 +171,19 @@
 	return p
 }
 
-// relist brings the VM list up to date; processes see it later.
-func (w *world) relist() {
-	s := shown{sequence: uint64(len(w.lists) + 1), at: w.now}
+// publishVMList adds a version of the VM list; processes read it later.
+func (w *world) publishVMList() {
+	s := vmList{sequence: uint64(len(w.lists) + 1), at: w.now}
 	for _, p := range w.processes {
-		if !p.ended && !w.hidden[p.id.VM] {
+		if !p.ended && !w.unlisted[p.id.VM] {
 			s.vms = append(s.vms, ledger.ListedVM{VM: p.id.VM, Address: p.ref.PeerAddress})
 		}
 	}
 	w.lists = append(w.lists, s)
 }
 
-// alive returns one of the processes that have not ended.
-func (w *world) alive(i int) *process {
+// liveProcess returns one of the processes that have not ended.
+func (w *world) liveProcess(i int) *process {
 	var living []*process
 	for _, p := range w.processes {
 		if !p.ended {
@@ -197,7 +196,7 @@
 	return living[i%len(living)]
 }
 
-// run lets time pass.
+// run advances the simulated time.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end) && w.violation == ""; {
 		w.now = w.now.Add(tick)
@@ -205,7 +204,7 @@
 		w.check()
 		for _, p := range w.processes {
 			if !p.ended && !p.paused {
-				p.poll()
+				p.step()
 			}
 		}
 		w.check()
