--- a/control/decider/core.go
+++ b/control/decider/core.go
@@ -80,7 +80,7 @@
 		reports:     make(map[grant.NodeID]*nodeState),
 		nodesByHash: make(map[uint64]ledger.Node),
 	}
-	limits := ledger.LimitsOf(account)
+	limits := ledger.NewLimits(account)
 	if entry.Revision == 0 {
 		c.ledger = ledger.New(options.Ledger, epoch, limits)
 	} else {
@@ -94,8 +94,8 @@
 		return nil, err
 	}
 	c.ledger.Rewrite(now)
-	if options.Ledger.Faults.NoRewrite {
-		c.ledger.Written()
+	if options.Ledger.Faults.SkipRewrite {
+		c.ledger.ConfirmWrite()
 	}
 	return c, nil
 }
@@ -123,8 +123,8 @@
 func (c *Core) PlannerOutput() PlannerOutput { return c.plannerOutput }
 
 // ObserveVMs records a VM list that was read at readAt.
-func (c *Core) ObserveVMs(list []ledger.Listed, sequence uint64, readAt time.Time) {
-	c.ledger.Observe(list, sequence, readAt)
+func (c *Core) ObserveVMs(list []ledger.ListedVM, sequence uint64, readAt time.Time) {
+	c.ledger.ObserveVMs(list, sequence, readAt)
 }
 
 // Step makes the decisions due at now and returns the ledger write that must succeed
@@ -162,7 +162,7 @@
 }
 
 func (c *Core) decide(account *model.Account, now time.Time) {
-	if c.ledger.SetLimits(ledger.LimitsOf(account)) {
+	if c.ledger.SetLimits(ledger.NewLimits(account)) {
 		c.account = account
 	}
 	c.forgetRemoved(now)
@@ -219,8 +219,8 @@
 		return ErrSuperseded
 	case errors.Is(err, store.ErrUnavailable) && !c.writeUncertain:
 		return nil
-	case c.options.Ledger.Faults.UnknownIsFailed:
-		c.ledger.NotWritten()
+	case c.options.Ledger.Faults.TreatUnknownAsFailed:
+		c.ledger.DiscardWrite()
 		return nil
 	default:
 		c.writeUncertain = true
@@ -235,7 +235,7 @@
 // Resolve settles a write that got a conflict after an attempt with unknown outcome:
 // it succeeded if the stored ledger carries its stamp.
 func (c *Core) Resolve(entry store.Entry) error {
-	stamp, err := ledger.StampOf(entry.Value)
+	stamp, err := ledger.DecodeStamp(entry.Value)
 	if err != nil {
 		return err
 	}
@@ -250,8 +250,8 @@
 func (c *Core) writeSettled(revision store.Revision) {
 	c.revision = revision
 	c.writeUncertain = false
-	c.ledger.Written()
-	if !c.ledger.Unsaved() && c.latestPlan != nil && c.latestPlan.Epoch == c.Epoch() {
+	c.ledger.ConfirmWrite()
+	if !c.ledger.HasUnsavedPlan() && c.latestPlan != nil && c.latestPlan.Epoch == c.Epoch() {
 		c.committedPlan = c.latestPlan
 	}
 }
@@ -267,7 +267,7 @@
 	if c.committedPlan == nil || c.committedPlan != c.latestPlan {
 		return
 	}
-	c.ledger.Published(now)
+	c.ledger.MarkPublished(now)
 }
 
 func sameFlows(a, b []plan.Flow) bool {
--- a/control/decider/node_state.go
+++ b/control/decider/node_state.go
@@ -95,7 +95,7 @@
 		r.Flows = known
 		return state.flowNames != 0
 	case request.FlowNames == 0:
-		state.flowNames = names.Flows(r.Flows)
+		state.flowNames = names.HashFlows(r.Flows)
 		return true
 	case request.FlowNames != state.flowNames || len(known) != len(r.Flows):
 		r.Flows = known
@@ -115,7 +115,7 @@
 		r.Places = known
 		return state.placeNames != 0
 	case request.PlaceNames == 0:
-		state.placeNames = names.Places(r.Places)
+		state.placeNames = names.HashPlaces(r.Places)
 		return true
 	case request.PlaceNames != state.placeNames || len(known) != len(r.Places):
 		r.Places = known
@@ -195,17 +195,17 @@
 	for i, s := range states {
 		r := c.reports[s.Node.ID]
 		nodes[i] = allocate.Node{
-			Region:  s.Node.Region,
-			Demand:  c.demand(r, keys),
-			Have:    s.Wanted,
-			InForce: s.InForce,
-			Silent:  c.silent(r, now),
-			Leaving: s.Leaving,
+			Region:      s.Node.Region,
+			Demand:      c.demand(r, keys),
+			Current:     s.Wanted,
+			InForce:     s.InForce,
+			Unreachable: c.silent(r, now),
+			Leaving:     s.Leaving,
 		}
 	}
 	wishes := allocate.Split(c.ledger.Limits(), keys, nodes, c.options.Allocate)
 	for i, s := range states {
-		c.ledger.Want(s.Node.ID, wishes[i])
+		c.ledger.SetWanted(s.Node.ID, wishes[i])
 	}
 }
 
