--- a/node/kept.go
+++ b/node/kept.go
@@ -24,7 +24,7 @@
 
 // Answer implements peerpb.KeptServer.
 func (s *keptServer) Answer(ctx context.Context, r *peerpb.AnswerRequest) (*peerpb.AnswerResponse, error) {
-	var print kept.Print
+	var print kept.Fingerprint
 	if copy(print.Work[:], r.Work) != len(r.Work) || copy(print.Sender[:], r.Sender) != len(r.Sender) {
 		return nil, errors.New("node: a hash of another length")
 	}
@@ -37,7 +37,7 @@
 }
 
 // askKept implements proxy.Ask.
-func (n *Node) askKept(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code) {
+func (n *Node) askKept(ctx context.Context, vm string, key keys.Key, print kept.Fingerprint) (*kept.Response, result.Code) {
 	address, listed := n.peerOf(vm)
 	if !listed {
 		return nil, result.DuplicateKey
@@ -70,7 +70,7 @@
 	return "", false
 }
 
-func encodeAnswer(a *kept.Answer) *peerpb.AnswerResponse {
+func encodeAnswer(a *kept.Response) *peerpb.AnswerResponse {
 	r := &peerpb.AnswerResponse{
 		Status: uint32(a.Status), Body: a.Body, NoBody: a.NoBody, Place: a.Place, Target: a.Target,
 	}
@@ -80,12 +80,12 @@
 	return r
 }
 
-func decodeAnswer(r *peerpb.AnswerResponse) *kept.Answer {
+func decodeAnswer(r *peerpb.AnswerResponse) *kept.Response {
 	header := make(http.Header, len(r.Fields))
 	for _, field := range r.Fields {
 		header[field.Name] = field.Values
 	}
-	return &kept.Answer{
+	return &kept.Response{
 		Answer: forward.Answer{Status: int(r.Status), Header: header, Body: r.Body, NoBody: r.NoBody},
 		Place:  r.Place,
 		Target: r.Target,
--- a/proxy/account_state.go
+++ b/proxy/account_state.go
@@ -76,7 +76,7 @@
 	state := s.places[key]
 	if state == nil {
 		state = newPlaceState(s.proxy, key)
-		state.bucket.Set(admission.LimitOf(s.grants, key), s.proxy.options.Clock())
+		state.bucket.SetLimit(admission.LimitOf(s.grants, key), s.proxy.options.Clock())
 		s.places[key] = state
 	}
 	state.setService(service, s.roundTrip(place.Region), now)
@@ -123,8 +123,8 @@
 	}
 	s.grants = set
 	for key, place := range s.places {
-		place.bucket.Set(admission.LimitOf(set, key), now)
-		place.line.Review()
+		place.bucket.SetLimit(admission.LimitOf(set, key), now)
+		place.line.RefuseLate()
 	}
 }
 
@@ -139,7 +139,7 @@
 	nodes := s.proxy.options.Nodes()
 	for _, place := range s.places {
 		place.adapt(nodes)
-		place.line.Review()
+		place.line.RefuseLate()
 	}
 }
 
--- a/proxy/admission/bucket.go
+++ b/proxy/admission/bucket.go
@@ -22,9 +22,9 @@
 	return &Bucket{last: now}
 }
 
-// Set puts a limit in force. After it returns no request is admitted under the
+// SetLimit puts a limit in force. After it returns no request is admitted under the
 // one before: tokens saved up at a higher rate are cut to the new burst.
-func (b *Bucket) Set(limit Limit, now time.Time) {
+func (b *Bucket) SetLimit(limit Limit, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
@@ -42,9 +42,9 @@
 	return b.take(1, now)
 }
 
-// TakeLow is Take for work that uses only what others leave free: it finds
+// TakeLowPriority is Take for work that uses only what others leave free: it finds
 // half of the burst kept back.
-func (b *Bucket) TakeLow(now time.Time) (ok bool, wait time.Duration) {
+func (b *Bucket) TakeLowPriority(now time.Time) (ok bool, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
--- a/proxy/admission/bucket_test.go
+++ b/proxy/admission/bucket_test.go
@@ -60,7 +60,7 @@
 			case 0:
 				expires := now.Add(time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(t, "expires")))
 				in = limit(rapid.Float64Range(0, 200).Draw(t, "floor"), rapid.Float64Range(0, 200).Draw(t, "surplus"), expires)
-				b.Set(in, now)
+				b.SetLimit(in, now)
 			case 1:
 				permitted, admitted, highest = 0, 0, 0
 			}
@@ -83,7 +83,7 @@
 func TestPausedProcessKeepsOnlyItsFloor(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := NewBucket(start)
-	b.Set(limit(10, 990, start.Add(time.Second)), start)
+	b.SetLimit(limit(10, 990, start.Add(time.Second)), start)
 	now := start.Add(900 * time.Millisecond)
 	if n := takeAll(b, now); n != 50 {
 		t.Fatalf("%d admitted at once at 1000 a second, want 50", n)
@@ -99,16 +99,16 @@
 func TestLoweredGrantCutsTheBurst(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := NewBucket(start)
-	b.Set(limit(1000, 0, start), start)
+	b.SetLimit(limit(1000, 0, start), start)
 	now := start.Add(time.Second)
 	if ok, _ := b.Take(now); !ok {
 		t.Fatal("nothing admitted")
 	}
-	b.Set(limit(20, 0, now), now)
+	b.SetLimit(limit(20, 0, now), now)
 	if n := takeAll(b, now); n != 1 {
 		t.Fatalf("%d admitted, want 1", n)
 	}
-	b.Set(limit(0, 0, now), now)
+	b.SetLimit(limit(0, 0, now), now)
 	if n := takeAll(b, now.Add(time.Hour)); n != 0 {
 		t.Fatalf("%d admitted without a grant", n)
 	}
@@ -118,7 +118,7 @@
 func TestWaitIsEnough(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBucket(now)
-	b.Set(limit(7, 0, now), now)
+	b.SetLimit(limit(7, 0, now), now)
 	for range 100 {
 		ok, wait := b.Take(now)
 		if ok {
@@ -135,11 +135,11 @@
 func TestLowPriorityLeavesAReserve(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := NewBucket(start)
-	b.Set(limit(1000, 0, start), start)
+	b.SetLimit(limit(1000, 0, start), start)
 	now := start.Add(time.Second)
 	low := 0
 	for ok := true; ok; low++ {
-		ok, _ = b.TakeLow(now)
+		ok, _ = b.TakeLowPriority(now)
 	}
 	if rest := takeAll(b, now); rest < 24 || low > 27 {
 		t.Fatalf("%d of low priority admitted, %d left to the rest", low-1, rest)
@@ -151,7 +151,7 @@
 func TestConcurrentUseGivesTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBucket(time.Now())
-		b.Set(limit(100, 0, time.Now()), time.Now())
+		b.SetLimit(limit(100, 0, time.Now()), time.Now())
 		end := time.Now().Add(time.Minute)
 		var admitted atomic.Int64
 		var done sync.WaitGroup
@@ -185,7 +185,7 @@
 	l := limit(100, 0, start)
 	l.Alive = alive
 	b := NewBucket(start)
-	b.Set(l, start)
+	b.SetLimit(l, start)
 	if n := takeAll(b, start.Add(time.Second)); n == 0 {
 		t.Fatal("a live process admits nothing")
 	}
--- a/proxy/admission/limit.go
+++ b/proxy/admission/limit.go
@@ -6,8 +6,8 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// BurstTime is how much of its rate a bucket can hold back and admit at once.
-const BurstTime = 50 * time.Millisecond
+// BurstDuration is how much of its rate a bucket can hold back and admit at once.
+const BurstDuration = 50 * time.Millisecond
 
 // Limit is what one grant permits.
 type Limit struct {
@@ -75,5 +75,5 @@
 	if rps <= 0 {
 		return 0
 	}
-	return max(1, rps*BurstTime.Seconds())
+	return max(1, rps*BurstDuration.Seconds())
 }
--- a/proxy/ask.go
+++ b/proxy/ask.go
@@ -18,7 +18,7 @@
 // again through another node. Code: result.OK with the answer, result.KeyReused
 // for other work under the key, else result.DuplicateKey. It waits while the
 // request is in hand.
-func (p *Proxy) KeptAnswer(ctx context.Context, key keys.Key, print kept.Print) (*kept.Answer, result.Code) {
+func (p *Proxy) KeptAnswer(ctx context.Context, key keys.Key, print kept.Fingerprint) (*kept.Response, result.Code) {
 	if p.kept == nil {
 		return nil, result.DuplicateKey
 	}
@@ -38,14 +38,14 @@
 //
 // Nodes never wait for each other in a circle: a request waits here only for the
 // one that recorded the key, and that one waits for nobody.
-func (p *Proxy) ask(ctx context.Context, q *request, print kept.Print, duplicate ending) ending {
+func (p *Proxy) ask(ctx context.Context, q *request, print kept.Fingerprint, duplicate ending) ending {
 	if p.options.Ask == nil || p.options.Keys == nil {
 		return duplicate
 	}
 	ctx, cancel := context.WithTimeout(ctx, maxAsk)
 	defer cancel()
 	key := q.keyOf()
-	holder, known := p.options.Keys.Holder(ctx, key)
+	holder, known := p.options.Keys.Owner(ctx, key)
 	if !known || holder == p.options.Node.VM {
 		return duplicate
 	}
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -160,7 +160,7 @@
 
 func (p *Proxy) failed(permission permission) {
 	permission.place.counts.failed.Add(1)
-	if permission.set.set.Failed(permission.index, p.now()) {
+	if permission.set.set.RecordFailure(permission.index, p.now()) {
 		p.log.Warnf("proxy: target %s of %s in %s ejected, its requests fail",
 			permission.target.id, permission.place.key.Service, permission.place.key.Place)
 	}
@@ -171,22 +171,22 @@
 	state := permission.target.state
 	now := p.now()
 	if answer.Leaving {
-		state.ToldLeaving()
+		state.MarkLeaving()
 	}
 	if answer.Shed {
-		state.Shed(now)
+		state.RecordShed(now)
 		return
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		p.failed(permission)
 		return
 	}
-	state.Health.Succeeded(now)
+	state.Health.RecordSuccess(now)
 	if took == 0 {
 		// Answered before the body was whole.
 		return
 	}
-	state.Served(took)
+	state.RecordLatency(took)
 	permission.place.counts.answered(took)
 	permission.place.tail.observe(took)
 }
--- a/proxy/balance/choose.go
+++ b/proxy/balance/choose.go
@@ -43,7 +43,7 @@
 // ejection does not count: a target that comes back begins with little work.
 func (t *Target) cost(now int64) float64 {
 	queue := float64(t.outstanding.Load()) + 1
-	age := float64(min(now-t.chosenAt.Load(), t.Health.InUse(now)))
+	age := float64(min(now-t.chosenAt.Load(), t.Health.ActiveTime(now)))
 	estimate := float64(t.Latency()) * max(minEstimate, 1-age/float64(estimateLife))
 	return queue * estimate / max(t.Health.Weight(now), minWeight)
 }
--- a/proxy/balance/compare_test.go
+++ b/proxy/balance/compare_test.go
@@ -65,12 +65,12 @@
 	t.Release()
 	switch e {
 	case served:
-		t.Served(took)
-		t.Health.Succeeded(now)
+		t.RecordLatency(took)
+		t.Health.RecordSuccess(now)
 	case shed:
-		t.Shed(now)
+		t.RecordShed(now)
 	default:
-		c.set.Failed(target, now)
+		c.set.RecordFailure(target, now)
 	}
 }
 
--- a/proxy/balance/set.go
+++ b/proxy/balance/set.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Usable returns how many targets may get new work.
-func (s *Set) Usable(now int64) int {
+// UsableCount returns how many targets may get new work.
+func (s *Set) UsableCount(now int64) int {
 	n := 0
 	for _, t := range s.Targets {
 		if t.Usable(now) {
@@ -64,9 +64,9 @@
 	return n
 }
 
-// Free returns the slots this node has and how many of them are free, over the
+// Slots returns the slots this node has and how many of them are free, over the
 // targets that may get new work.
-func (s *Set) Free(now int64) (slots, free int) {
+func (s *Set) Slots(now int64) (slots, free int) {
 	for _, t := range s.Targets {
 		if !t.Usable(now) {
 			continue
@@ -83,11 +83,11 @@
 	now int64
 }
 
-// Failed counts a failure of the target at an index.
-func (s *Set) Failed(index int, now int64) bool {
+// RecordFailure counts a failure of the target at an index.
+func (s *Set) RecordFailure(index int, now int64) bool {
 	s.ejecting.Lock()
 	defer s.ejecting.Unlock()
-	return s.Targets[index].Health.Failed(now, guard{set: s, now: now})
+	return s.Targets[index].Health.RecordFailure(now, guard{set: s, now: now})
 }
 
 // MayEject implements eject.Guard: at least half of the targets stay, and the
--- a/proxy/balance/set_test.go
+++ b/proxy/balance/set_test.go
@@ -23,10 +23,10 @@
 		s := newSet(n, 3)
 		for range 100 {
 			for i := range s.Targets {
-				s.Failed(i, settled)
+				s.RecordFailure(i, settled)
 			}
 		}
-		if usable := s.Usable(settled); usable != n-n/2 {
+		if usable := s.UsableCount(settled); usable != n-n/2 {
 			t.Fatalf("%d of %d targets stay", usable, n)
 		}
 	}
@@ -42,9 +42,9 @@
 	}
 	s.Targets[0].Acquire()
 	for range 100 {
-		s.Failed(0, settled)
+		s.RecordFailure(0, settled)
 	}
-	if usable := s.Usable(settled); usable != 4 {
+	if usable := s.UsableCount(settled); usable != 4 {
 		t.Fatalf("%d targets left for %d requests under way", usable, 9)
 	}
 }
@@ -55,11 +55,11 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	s := newSet(6, 2)
 	s.Targets[0].SetListedLeaving(true)
-	s.Targets[1].ToldLeaving()
+	s.Targets[1].MarkLeaving()
 	for range 100 {
-		s.Failed(2, settled)
+		s.RecordFailure(2, settled)
 	}
-	s.Targets[3].Shed(settled)
+	s.Targets[3].RecordShed(settled)
 	skip := Skip(0).With(4)
 	got := make([]int, 6)
 	for {
@@ -80,10 +80,10 @@
 // A target fails fast. Its failures must not make it look like the fastest.
 func TestFailingFastAttractsNothing(t *testing.T) {
 	s := newSet(2, 100)
-	s.Targets[0].Served(10 * time.Millisecond)
-	s.Targets[1].Served(10 * time.Millisecond)
+	s.Targets[0].RecordLatency(10 * time.Millisecond)
+	s.Targets[1].RecordLatency(10 * time.Millisecond)
 	before := s.Targets[0].Latency()
-	s.Failed(0, settled)
+	s.RecordFailure(0, settled)
 	if s.Targets[0].Latency() != before {
 		t.Fatal("a failure changed the latency")
 	}
@@ -110,11 +110,11 @@
 	const every = 100 * time.Millisecond
 	s := newSet(4, 3)
 	random := rand.New(rand.NewPCG(1, 2))
-	s.Targets[0].Served(time.Second)
+	s.Targets[0].RecordLatency(time.Second)
 	asked, again := 0, 0
 	for now := time.Duration(0); now < 3*estimateLife; now += every {
 		i := s.Acquire(int64(now), random.Uint64(), 0)
-		s.Targets[i].Served(5 * time.Millisecond)
+		s.Targets[i].RecordLatency(5 * time.Millisecond)
 		s.Targets[i].Release()
 		asked++
 		if i == 0 {
@@ -139,7 +139,7 @@
 			took = 200 * time.Millisecond
 			slow++
 		}
-		s.Targets[i].Served(took)
+		s.Targets[i].RecordLatency(took)
 		s.Targets[i].Release()
 	}
 	if slow < lives-1 || slow > 2*lives {
--- a/proxy/balance/target.go
+++ b/proxy/balance/target.go
@@ -11,8 +11,8 @@
 // Bounds of what is learnt of a target.
 const (
 	latencyWeight = 0.2
-	// FirstLatency is assumed of a target that has not answered yet.
-	FirstLatency = 10 * time.Millisecond
+	// InitialLatency is assumed of a target that has not answered yet.
+	InitialLatency = 10 * time.Millisecond
 	// estimateLife is how long after its last request the latency of a target has
 	// no say any more in the choice.
 	estimateLife = 10 * time.Second
@@ -44,7 +44,7 @@
 func NewTarget(now int64, limit int) *Target {
 	t := &Target{Health: eject.NewHealth(now)}
 	t.limit.Store(int32(limit))
-	t.latency.Store(math.Float64bits(float64(FirstLatency)))
+	t.latency.Store(math.Float64bits(float64(InitialLatency)))
 	t.chosenAt.Store(now)
 	return t
 }
@@ -58,14 +58,14 @@
 // SetListedLeaving stores what the VM list says.
 func (t *Target) SetListedLeaving(leaving bool) { t.listed.Store(leaving) }
 
-// ToldLeaving stores that the target itself said it takes no new work.
-func (t *Target) ToldLeaving() { t.told.Store(true) }
+// MarkLeaving stores that the target itself said it takes no new work.
+func (t *Target) MarkLeaving() { t.told.Store(true) }
 
 // Leaving reports whether the target gets no new work for good.
 func (t *Target) Leaving() bool { return t.listed.Load() || t.told.Load() }
 
-// Shed keeps new work away for ShedPause: the target is known overloaded.
-func (t *Target) Shed(now int64) { t.shedUntil.Store(now + int64(ShedPause)) }
+// RecordShed keeps new work away for ShedPause: the target is known overloaded.
+func (t *Target) RecordShed(now int64) { t.shedUntil.Store(now + int64(ShedPause)) }
 
 // Outstanding returns this node's requests at the target.
 func (t *Target) Outstanding() int { return int(t.outstanding.Load()) }
@@ -94,10 +94,10 @@
 	}
 }
 
-// Served counts the latency of a request that the target served, for more after
+// RecordLatency counts the latency of a request that the target served, for more after
 // the target was idle. Failures do not count: a target that fails fast would look
 // like the best one.
-func (t *Target) Served(latency time.Duration) {
+func (t *Target) RecordLatency(latency time.Duration) {
 	weight := min(1, max(latencyWeight, float64(t.idle.Swap(0))/float64(estimateLife)))
 	for {
 		old := t.latency.Load()
--- a/proxy/drain/gate.go
+++ b/proxy/drain/gate.go
@@ -32,8 +32,8 @@
 // Leave counts a request out.
 func (g *Gate) Leave() { g.signal(g.state.Add(-1)) }
 
-// Open returns the number of requests in hand.
-func (g *Gate) Open() int { return int(g.state.Load() &^ closed) }
+// InFlight returns the number of requests in hand.
+func (g *Gate) InFlight() int { return int(g.state.Load() &^ closed) }
 
 // Closed reports whether new requests are refused.
 func (g *Gate) Closed() bool { return g.state.Load()&closed != 0 }
--- a/proxy/drain/gate_test.go
+++ b/proxy/drain/gate_test.go
@@ -33,8 +33,8 @@
 			t.Fatal("let in after the end")
 		}
 		done.Wait()
-		if g.Open() != 0 {
-			t.Fatalf("%d open", g.Open())
+		if g.InFlight() != 0 {
+			t.Fatalf("%d open", g.InFlight())
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	g.Enter()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := g.Wait(ctx); err == nil || g.Open() != 1 {
-		t.Fatalf("error %v with %d open", err, g.Open())
+	if err := g.Wait(ctx); err == nil || g.InFlight() != 1 {
+		t.Fatalf("error %v with %d open", err, g.InFlight())
 	}
 }
--- a/proxy/eject/health.go
+++ b/proxy/eject/health.go
@@ -22,8 +22,8 @@
 	// firstEjection doubles with each ejection that follows a failed return.
 	firstEjection = time.Second
 	maxDoublings  = 5
-	// RampTime is how long a new or returning target takes to full weight.
-	RampTime = 10 * time.Second
+	// RampDuration is how long a new or returning target takes to full weight.
+	RampDuration = 10 * time.Second
 	// startWeight is the weight at the beginning of the ramp. It is not zero,
 	// or nothing would be learnt of the target.
 	startWeight = 0.1
@@ -64,36 +64,36 @@
 		return 0
 	}
 	since := now - h.rampFrom.Load()
-	if since >= int64(RampTime) {
+	if since >= int64(RampDuration) {
 		return 1
 	}
 	if since <= 0 {
 		return startWeight
 	}
-	return startWeight + (1-startWeight)*float64(since)/float64(RampTime)
+	return startWeight + (1-startWeight)*float64(since)/float64(RampDuration)
 }
 
-// InUse returns for how long the target has been in use, in ns: since it was new or
+// ActiveTime returns for how long the target has been in use, in ns: since it was new or
 // came back.
-func (h *Health) InUse(now int64) int64 { return now - h.rampFrom.Load() }
+func (h *Health) ActiveTime(now int64) int64 { return now - h.rampFrom.Load() }
 
 // Ejected reports whether the target is out of use.
 func (h *Health) Ejected(now int64) bool { return now < h.until.Load() }
 
-// Succeeded counts a request that the target served.
-func (h *Health) Succeeded(now int64) {
+// RecordSuccess counts a request that the target served.
+func (h *Health) RecordSuccess(now int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.inARow = 0
 	h.sample(0)
-	if h.ejections > 0 && now-h.rampFrom.Load() >= int64(RampTime) {
+	if h.ejections > 0 && now-h.rampFrom.Load() >= int64(RampDuration) {
 		h.ejections = 0
 	}
 }
 
-// Failed counts a request that the target failed and ejects it if the guard
+// RecordFailure counts a request that the target failed and ejects it if the guard
 // agrees. It returns whether the target was ejected by this call.
-func (h *Health) Failed(now int64, guard Guard) bool {
+func (h *Health) RecordFailure(now int64, guard Guard) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.inARow++
--- a/proxy/eject/health_test.go
+++ b/proxy/eject/health_test.go
@@ -14,13 +14,13 @@
 // A target fails all its requests fast while its health endpoint says fine. It
 // gets no work for a while, then little, then its share again.
 func TestEjectionAndGradualReturn(t *testing.T) {
-	h := NewHealth(-int64(RampTime))
+	h := NewHealth(-int64(RampDuration))
 	if h.Weight(0) != 1 {
 		t.Fatalf("weight %f", h.Weight(0))
 	}
 	ejected := 0
 	for range failuresInARow {
-		if h.Failed(0, always(true)) {
+		if h.RecordFailure(0, always(true)) {
 			ejected++
 		}
 	}
@@ -28,7 +28,7 @@
 		t.Fatalf("ejected %d times, weight %f", ejected, h.Weight(0))
 	}
 	last := 0.0
-	for at := second; at <= second+int64(RampTime); at += second {
+	for at := second; at <= second+int64(RampDuration); at += second {
 		w := h.Weight(at)
 		if w <= last || w > 1 {
 			t.Fatalf("weight %f after %f", w, last)
@@ -54,8 +54,8 @@
 		last = out
 		now = h.until.Load()
 	}
-	now += int64(RampTime)
-	h.Succeeded(now)
+	now += int64(RampDuration)
+	h.RecordSuccess(now)
 	fail(h, now)
 	if out := h.until.Load() - now; out != int64(firstEjection) {
 		t.Fatalf("ejected for %d after a good time", out)
@@ -63,7 +63,7 @@
 }
 
 func fail(h *Health, now int64) {
-	for !h.Failed(now, always(true)) {
+	for !h.RecordFailure(now, always(true)) {
 	}
 }
 
@@ -72,11 +72,11 @@
 func TestFailureShareEjects(t *testing.T) {
 	h := NewHealth(0)
 	for range 100 {
-		h.Succeeded(0)
-		if h.Failed(0, always(true)) {
+		h.RecordSuccess(0)
+		if h.RecordFailure(0, always(true)) {
 			t.Fatal("half of the requests is not yet over the limit")
 		}
-		if h.Failed(0, always(true)) {
+		if h.RecordFailure(0, always(true)) {
 			return
 		}
 	}
@@ -86,7 +86,7 @@
 func TestGuardHoldsEjectionBack(t *testing.T) {
 	h := NewHealth(0)
 	for range 100 {
-		if h.Failed(0, always(false)) {
+		if h.RecordFailure(0, always(false)) {
 			t.Fatal("ejected against the guard")
 		}
 	}
--- a/proxy/kept/print.go
+++ b/proxy/kept/fingerprint.go
@@ -16,8 +16,8 @@
 // Hash is a hash that two different inputs do not share.
 type Hash [sha256.Size]byte
 
-// Print identifies a request beside its key.
-type Print struct {
+// Fingerprint identifies a request beside its key.
+type Fingerprint struct {
 	// Work covers method, path, query and body.
 	Work Hash
 	// Sender covers the caller's IP address and all fields that the target gets:
@@ -26,10 +26,10 @@
 	Sender Hash
 }
 
-// PrintOf returns the print of a request from a caller's address, with or
+// FingerprintOf returns the print of a request from a caller's address, with or
 // without a port. It reads the whole body and keeps none of it.
-func PrintOf(r *forward.Request, address string) Print {
-	return Print{Work: workOf(r), Sender: senderOf(r.Header, address)}
+func FingerprintOf(r *forward.Request, address string) Fingerprint {
+	return Fingerprint{Work: workOf(r), Sender: senderOf(r.Header, address)}
 }
 
 func workOf(r *forward.Request) Hash {
--- a/proxy/kept/answer.go
+++ b/proxy/kept/response.go
@@ -7,8 +7,8 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// Answer is a target's whole answer and who gave it. It is only to be read.
-type Answer struct {
+// Response is a target's whole answer and who gave it. It is only to be read.
+type Response struct {
 	forward.Answer
 	// Place and Target are the fields that name them to the caller.
 	Place, Target []string
@@ -22,8 +22,8 @@
 
 // copied returns an answer that shares no memory with what it was made from and
 // holds none of the request's reserved bytes.
-func copied(a *Answer) *Answer {
-	return &Answer{
+func copied(a *Response) *Response {
+	return &Response{
 		Answer: forward.Answer{
 			Status: a.Status,
 			Header: a.Header.Clone(),
@@ -35,7 +35,7 @@
 	}
 }
 
-func sizeOf(a *Answer) int64 {
+func sizeOf(a *Response) int64 {
 	return int64(len(a.Body)) + headerBytes(a.Header)
 }
 
--- a/proxy/kept/store.go
+++ b/proxy/kept/store.go
@@ -14,21 +14,21 @@
 
 // Defaults of Options.
 const (
-	DefaultKeep        = 10 * time.Minute
-	DefaultAnswerBytes = 16 << 10
+	DefaultRetention        = 10 * time.Minute
+	DefaultMaxResponseBytes = 16 << 10
 )
 
 // Options configure a Store. Zero values take the defaults, but for Bytes.
 type Options struct {
-	// Bytes bounds what is kept of requests that have ended, in sum. The oldest
+	// MaxBytes bounds what is kept of requests that have ended, in sum. The oldest
 	// go first.
-	Bytes int64
-	// AnswerBytes bounds one answer, head and body; a larger one is not kept.
-	AnswerBytes int64
-	// Keep is how long an answer is kept at most. It must be below the time for
+	MaxBytes int64
+	// MaxResponseBytes bounds one answer, head and body; a larger one is not kept.
+	MaxResponseBytes int64
+	// Retention is how long an answer is kept at most. It must be below the time for
 	// which keys are recorded: an answer must not be given for a key that may be
 	// used anew.
-	Keep time.Duration
+	Retention time.Duration
 }
 
 // Store holds requests by their keys, those in hand and those that ended. It is
@@ -46,36 +46,36 @@
 
 // Entry is one request with a key.
 type Entry struct {
-	// Print is the request's that made the entry.
-	Print Print
+	// Fingerprint is the request's that made the entry.
+	Fingerprint Fingerprint
 
 	key keys.Key
 	// done is closed when the request has ended; what follows is then fixed.
 	done    chan struct{}
 	dropped bool
-	answer  *Answer
+	answer  *Response
 	size    int64
 	until   time.Time
 }
 
 // New returns an empty store.
 func New(o Options) *Store {
-	option.Default(&o.AnswerBytes, DefaultAnswerBytes)
-	option.Default(&o.Keep, DefaultKeep)
+	option.Default(&o.MaxResponseBytes, DefaultMaxResponseBytes)
+	option.Default(&o.Retention, DefaultRetention)
 	return &Store{options: o, entries: make(map[keys.Key]*Entry)}
 }
 
 // Begin returns the entry of a key and whether this request made it. The one
 // that did must call End or Drop; any other must look at the entry's Print
 // before it uses its answer.
-func (s *Store) Begin(key keys.Key, print Print) (entry *Entry, first bool) {
+func (s *Store) Begin(key keys.Key, print Fingerprint) (entry *Entry, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trim(time.Now())
 	if old := s.entries[key]; old != nil {
 		return old, false
 	}
-	entry = &Entry{Print: print, key: key, done: make(chan struct{})}
+	entry = &Entry{Fingerprint: print, key: key, done: make(chan struct{})}
 	s.entries[key] = entry
 	return entry, true
 }
@@ -90,18 +90,18 @@
 
 // End tells that the request ran or may have run. A nil answer, or one that is
 // too large, is not kept; the request's print still is.
-func (s *Store) End(entry *Entry, answer *Answer) {
+func (s *Store) End(entry *Entry, answer *Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry.size = entryBytes + int64(len(entry.key.Text))
 	if answer != nil {
-		if size := sizeOf(answer); size <= s.options.AnswerBytes {
+		if size := sizeOf(answer); size <= s.options.MaxResponseBytes {
 			entry.answer = copied(answer)
 			entry.size += size
 		}
 	}
 	now := time.Now()
-	entry.until = now.Add(s.options.Keep)
+	entry.until = now.Add(s.options.Retention)
 	s.ended = append(s.ended, entry)
 	s.bytes += entry.size
 	close(entry.done)
@@ -129,7 +129,7 @@
 func (s *Store) trim(now time.Time) {
 	for len(s.ended) > 0 {
 		oldest := s.ended[0]
-		if s.bytes <= s.options.Bytes && now.Before(oldest.until) {
+		if s.bytes <= s.options.MaxBytes && now.Before(oldest.until) {
 			return
 		}
 		s.ended[0] = nil
@@ -141,7 +141,7 @@
 
 // Wait returns once the entry's request has ended: its answer, nil if there is
 // none, or dropped if nothing is known of the key any more. Error: the context's.
-func (e *Entry) Wait(ctx context.Context) (answer *Answer, dropped bool, err error) {
+func (e *Entry) Wait(ctx context.Context) (answer *Response, dropped bool, err error) {
 	select {
 	case <-e.done:
 		return e.answer, e.dropped, nil
--- a/proxy/kept/store_test.go
+++ b/proxy/kept/store_test.go
@@ -14,17 +14,17 @@
 // before, and give its memory back.
 func TestAnswersAreForgottenInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := New(Options{Bytes: 1 << 20})
+		s := New(Options{MaxBytes: 1 << 20})
 		key := keys.Key{Account: "daehan", Service: "dealer-desk", Text: "o-1"}
-		entry, _ := s.Begin(key, Print{})
-		s.End(entry, &Answer{Answer: forward.Answer{Status: http.StatusOK, Body: []byte("ok")}})
-		time.Sleep(DefaultKeep - time.Second)
-		again, first := s.Begin(key, Print{})
+		entry, _ := s.Begin(key, Fingerprint{})
+		s.End(entry, &Response{Answer: forward.Answer{Status: http.StatusOK, Body: []byte("ok")}})
+		time.Sleep(DefaultRetention - time.Second)
+		again, first := s.Begin(key, Fingerprint{})
 		if answer, _, err := again.Wait(t.Context()); first || answer == nil || err != nil {
 			t.Fatal("forgotten too early")
 		}
 		time.Sleep(time.Second)
-		if _, first := s.Begin(key, Print{}); !first || s.Bytes() != 0 {
+		if _, first := s.Begin(key, Fingerprint{}); !first || s.Bytes() != 0 {
 			t.Fatalf("kept too long, %d bytes", s.Bytes())
 		}
 	})
--- a/proxy/keys/recorder.go
+++ b/proxy/keys/recorder.go
@@ -39,9 +39,9 @@
 	burst := max(1, int(o.WritesPerSecond))
 	return &Recorder{
 		options: o,
-		lease:   &rotatingLease{kv: o.Store, keep: o.Keep},
+		lease:   &rotatingLease{kv: o.Store, keep: o.Retention},
 		writes:  rate.NewLimiter(rate.Limit(o.WritesPerSecond), burst),
-		memory:  newMemory(o.Remembered),
+		memory:  newMemory(o.CacheSize),
 	}
 }
 
@@ -174,8 +174,8 @@
 	return found.Revision
 }
 
-// Holder returns the VM whose record a key has. It takes one read of the store.
-func (r *Recorder) Holder(ctx context.Context, key Key) (vm string, known bool) {
+// Owner returns the VM whose record a key has. It takes one read of the store.
+func (r *Recorder) Owner(ctx context.Context, key Key) (vm string, known bool) {
 	ctx, cancel := context.WithTimeout(store.Prompt(ctx), r.options.Timeout)
 	defer cancel()
 	entry, err := r.options.Store.Get(ctx, path(key))
--- a/proxy/keys/recorder_test.go
+++ b/proxy/keys/recorder_test.go
@@ -133,7 +133,7 @@
 func TestStoreCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := faultkv.New(memkv.New(memkv.Options{}), nil)
-		r := New(Options{Store: kv, WritesPerSecond: 10, Keep: time.Hour})
+		r := New(Options{Store: kv, WritesPerSecond: 10, Retention: time.Hour})
 		recorded := 0
 		for i := range 1000 {
 			_, err := r.Record(context.Background(), order(fmt.Sprint(i)))
@@ -158,8 +158,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const keep = time.Hour
 		kv := memkv.New(memkv.Options{})
-		a := New(Options{Store: kv, Node: grant.NodeID{VM: "a"}, Keep: keep})
-		b := New(Options{Store: kv, Node: grant.NodeID{VM: "b"}, Keep: keep})
+		a := New(Options{Store: kv, Node: grant.NodeID{VM: "a"}, Retention: keep})
+		b := New(Options{Store: kv, Node: grant.NodeID{VM: "b"}, Retention: keep})
 		mustRecord(t, a, "first")
 		time.Sleep(keep - time.Second)
 		mustRecord(t, a, "second")
--- a/proxy/options.go
+++ b/proxy/options.go
@@ -40,14 +40,14 @@
 	ClaimLocally(key keys.Key) bool
 	// Release frees the key of a request that certainly did not run.
 	Release(ctx context.Context, claim keys.Claim)
-	// Holder returns the VM that recorded a key, and false if that cannot be
+	// Owner returns the VM that recorded a key, and false if that cannot be
 	// found out.
-	Holder(ctx context.Context, key keys.Key) (vm string, known bool)
+	Owner(ctx context.Context, key keys.Key) (vm string, known bool)
 }
 
 // Ask returns the answer that another node keeps for a request, as
 // Proxy.KeptAnswer of that node; a failure is result.DuplicateKey.
-type Ask func(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code)
+type Ask func(ctx context.Context, vm string, key keys.Key, print kept.Fingerprint) (*kept.Response, result.Code)
 
 // Options configure a Proxy.
 type Options struct {
--- a/proxy/place_state.go
+++ b/proxy/place_state.go
@@ -31,7 +31,7 @@
 	// field is the place's name as answers tell it.
 	field  []string
 	bucket *admission.Bucket
-	line   *queue.Line[permission]
+	line   *queue.Queue[permission]
 	// bulk counts bulk requests at targets.
 	bulk    atomic.Int32
 	targets atomic.Pointer[targetSet]
@@ -57,7 +57,7 @@
 		field:  []string{string(key.Place)},
 		bucket: admission.NewBucket(p.options.Clock()),
 	}
-	s.line = queue.NewLine[permission](s)
+	s.line = queue.New[permission](s)
 	s.targets.Store(newTargetSet(nil))
 	return s
 }
@@ -122,7 +122,7 @@
 // bulkFits reports whether a bulk request leaves a slot to the other classes:
 // an upload can hold its slot for minutes.
 func (s *placeState) bulkFits(ts *targetSet, now int64) bool {
-	slots, free := ts.set.Free(now)
+	slots, free := ts.set.Slots(now)
 	if slots <= 1 {
 		return free > 0
 	}
@@ -133,7 +133,7 @@
 	if class != model.Bulk {
 		return s.bucket.Take(now)
 	}
-	return s.bucket.TakeLow(now)
+	return s.bucket.TakeLowPriority(now)
 }
 
 func (s *placeState) returnToken() { s.bucket.Return(s.proxy.options.Clock()) }
@@ -141,25 +141,25 @@
 // Release implements queue.Source.
 func (s *placeState) Release(p permission) { p.cancel() }
 
-// Pace implements queue.Source: the lower of what the grant and what the slots
+// Rate implements queue.Source: the lower of what the grant and what the slots
 // permit.
-func (s *placeState) Pace() float64 {
+func (s *placeState) Rate() float64 {
 	rate := s.bucket.RPS(s.proxy.options.Clock())
 	return min(rate, s.slotPace()/slotPaceMargin)
 }
 
-// Wait implements queue.Source.
-func (s *placeState) Wait() time.Duration { return s.bucket.Wait(s.proxy.options.Clock()) }
+// MinWait implements queue.Source.
+func (s *placeState) MinWait() time.Duration { return s.bucket.Wait(s.proxy.options.Clock()) }
 
 // comeBack returns when a refused caller may come back, given how long a request
 // would wait now.
 func (s *placeState) comeBack(wait time.Duration) time.Duration {
-	return s.comeback.next(time.Now(), wait, s.Pace())
+	return s.comeback.next(time.Now(), wait, s.Rate())
 }
 
 // hasTarget reports whether any target may get new work.
 func (s *placeState) hasTarget() bool {
-	return s.targets.Load().set.Usable(s.proxy.now()) > 0
+	return s.targets.Load().set.UsableCount(s.proxy.now()) > 0
 }
 
 // lateCode names what made a waiting request late: the node's grant, or the
--- a/proxy/place_targets.go
+++ b/proxy/place_targets.go
@@ -28,7 +28,7 @@
 			t.pool.Close()
 		}
 	}
-	s.line.Review()
+	s.line.RefuseLate()
 }
 
 // ownVMs returns the VMs of the list that this node uses for the place: all, or
@@ -64,7 +64,7 @@
 
 func (s *placeState) newTarget(vm *membership.VM, now int64) *target {
 	nodes := s.proxy.options.Nodes()
-	limit := slotLimit(s.service.SlotsPerTarget, nodes, s.wire(), balance.FirstLatency)
+	limit := slotLimit(s.service.SlotsPerTarget, nodes, s.wire(), balance.InitialLatency)
 	connections := connectionLimit(s.service.ConnectionsPerTarget, nodes)
 	t := &target{
 		id:      vm.ID,
@@ -81,7 +81,7 @@
 // keepWarm opens connections before a request needs them: one costs about a
 // millisecond and, to another region, two round trips.
 func (s *placeState) keepWarm(t *target, now int64) {
-	if now < t.warmAt || t.state.Leaving() || t.pool.Fresh() >= warmedConnections {
+	if now < t.warmAt || t.state.Leaving() || t.pool.PruneIdle() >= warmedConnections {
 		return
 	}
 	t.warmAt = now + int64(warmPause)
--- a/proxy/pool/pool.go
+++ b/proxy/pool/pool.go
@@ -13,11 +13,11 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// MaxIdle is how long a connection may stay unused, unless SetMaxIdle says less.
+// DefaultMaxIdle is how long a connection may stay unused, unless SetMaxIdle says less.
 // Targets close idle connections after a time of their own; a request that crosses
 // such a close is lost with an unknown outcome. So the pool must be the first to
 // give up.
-const MaxIdle = 20 * time.Second
+const DefaultMaxIdle = 20 * time.Second
 
 // ErrFull tells that the node holds as many connections as it may.
 var ErrFull = errors.New("pool: connection limit reached")
@@ -48,7 +48,7 @@
 
 // New returns an empty pool with a bound on open connections.
 func New(address string, dial Dial, limit int) *Pool {
-	return &Pool{address: address, dial: dial, limit: limit, maxIdle: MaxIdle}
+	return &Pool{address: address, dial: dial, limit: limit, maxIdle: DefaultMaxIdle}
 }
 
 // SetMaxIdle changes how long a connection may stay unused.
@@ -126,15 +126,15 @@
 	closeAll(idle)
 }
 
-// Fresh closes connections that were idle for too long and returns the number
+// PruneIdle closes connections that were idle for too long and returns the number
 // of those left, those in use included.
-func (p *Pool) Fresh() int {
+func (p *Pool) PruneIdle() int {
 	p.dropOld()
-	return p.Open()
+	return p.OpenCount()
 }
 
-// Open returns the number of open connections, those in use included.
-func (p *Pool) Open() int {
+// OpenCount returns the number of open connections, those in use included.
+func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
--- a/proxy/pool/pool_test.go
+++ b/proxy/pool/pool_test.go
@@ -135,8 +135,8 @@
 		})
 	}
 	done.Wait()
-	if most.Load() > limit || f.opened.Load() > limit || p.Open() > limit {
-		t.Fatalf("%d in use, %d opened, %d open; at most %d", most.Load(), f.opened.Load(), p.Open(), limit)
+	if most.Load() > limit || f.opened.Load() > limit || p.OpenCount() > limit {
+		t.Fatalf("%d in use, %d opened, %d open; at most %d", most.Load(), f.opened.Load(), p.OpenCount(), limit)
 	}
 }
 
@@ -152,8 +152,8 @@
 		t.Fatal(err)
 	}
 	p.Put(c)
-	if f.opened.Load() != 3 || p.Open() != 1 {
-		t.Fatalf("%d opened, %d open", f.opened.Load(), p.Open())
+	if f.opened.Load() != 3 || p.OpenCount() != 1 {
+		t.Fatalf("%d opened, %d open", f.opened.Load(), p.OpenCount())
 	}
 }
 
@@ -163,11 +163,11 @@
 	p, f := newPool(t, 3)
 	p.Warm(context.Background(), 2)
 	for i := range p.idle {
-		p.idle[i].since = time.Now().Add(-MaxIdle - time.Second)
+		p.idle[i].since = time.Now().Add(-DefaultMaxIdle - time.Second)
 	}
 	p.Put(get(t, p))
-	if f.opened.Load() != 3 || p.Open() != 1 {
-		t.Fatalf("%d opened, %d open", f.opened.Load(), p.Open())
+	if f.opened.Load() != 3 || p.OpenCount() != 1 {
+		t.Fatalf("%d opened, %d open", f.opened.Load(), p.OpenCount())
 	}
 }
 
@@ -182,8 +182,8 @@
 		t.Fatal("no error on a closed connection")
 	}
 	p.Put(c)
-	if p.Open() != 0 {
-		t.Fatalf("%d open", p.Open())
+	if p.OpenCount() != 0 {
+		t.Fatalf("%d open", p.OpenCount())
 	}
 	if err := exchange(get(t, p), time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
@@ -215,12 +215,12 @@
 	for _, c := range held[:3] {
 		p.Put(c)
 	}
-	if p.Open() != 2 {
-		t.Fatalf("%d open after the bound was lowered to 2", p.Open())
+	if p.OpenCount() != 2 {
+		t.Fatalf("%d open after the bound was lowered to 2", p.OpenCount())
 	}
 	p.Close()
 	p.Put(held[3])
-	if _, err := p.Get(context.Background()); !errors.Is(err, ErrClosed) || p.Open() != 0 {
-		t.Fatalf("error %v, %d open", err, p.Open())
+	if _, err := p.Get(context.Background()); !errors.Is(err, ErrClosed) || p.OpenCount() != 0 {
+		t.Fatalf("error %v, %d open", err, p.OpenCount())
 	}
 }
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -77,7 +77,7 @@
 		bases:    newBases(base),
 	}
 	if o.KeptAnswerBytes > 0 {
-		p.kept = kept.New(kept.Options{Bytes: o.KeptAnswerBytes})
+		p.kept = kept.New(kept.Options{MaxBytes: o.KeptAnswerBytes})
 	}
 	p.current.Store(&snapshot{})
 	go p.maintain()
@@ -129,7 +129,7 @@
 }
 
 // InFlight returns the number of requests in hand.
-func (p *Proxy) InFlight() int { return p.gate.Open() }
+func (p *Proxy) InFlight() int { return p.gate.InFlight() }
 
 // Part ends each caller's connection with its next answer; requests are served
 // as before. Call it before Drain: a request that meets the end of its
@@ -141,7 +141,7 @@
 func (p *Proxy) Drain(ctx context.Context) error {
 	began := time.Now()
 	err := p.gate.Wait(ctx)
-	p.log.Infof("proxy: drained in %s, %d requests left", time.Since(began), p.gate.Open())
+	p.log.Infof("proxy: drained in %s, %d requests left", time.Since(began), p.gate.InFlight())
 	return err
 }
 
--- a/proxy/queue/line.go
+++ b/proxy/queue/queue.go
@@ -28,16 +28,16 @@
 	Acquire(class model.Class) (permission T, ok bool, wait time.Duration)
 	// Release gives an unused permission back.
 	Release(permission T)
-	// Pace returns how many requests a second the line serves at present; 0 if
+	// Rate returns how many requests a second the line serves at present; 0 if
 	// nothing is known to come.
-	Pace() float64
-	// Wait returns how long the first of the line waits at least.
-	Wait() time.Duration
+	Rate() float64
+	// MinWait returns how long the first of the line waits at least.
+	MinWait() time.Duration
 }
 
-// Line is the queue of one service in one place. Work that a person waits for
+// Queue is the queue of one service in one place. Work that a person waits for
 // goes before bulk work; within each the first to come is the first served.
-type Line[T any] struct {
+type Queue[T any] struct {
 	source  Source[T]
 	waiting atomic.Int32
 
@@ -56,17 +56,17 @@
 	late chan struct{}
 }
 
-// NewLine returns an empty line.
-func NewLine[T any](source Source[T]) *Line[T] {
-	return &Line[T]{source: source}
+// New returns an empty line.
+func New[T any](source Source[T]) *Queue[T] {
+	return &Queue[T]{source: source}
 }
 
 // Waiting returns how many requests wait.
-func (l *Line[T]) Waiting() int { return int(l.waiting.Load()) }
+func (l *Queue[T]) Waiting() int { return int(l.waiting.Load()) }
 
 // TryAcquire takes a permission if nobody waits and one is free. It returns
 // how long the source asks to wait otherwise.
-func (l *Line[T]) TryAcquire(class model.Class) (permission T, ok bool, wait time.Duration) {
+func (l *Queue[T]) TryAcquire(class model.Class) (permission T, ok bool, wait time.Duration) {
 	if l.waiting.Load() > 0 {
 		return permission, false, 0
 	}
@@ -76,7 +76,7 @@
 // Acquire waits for a permission until leaveBy. It returns ErrLate as soon as
 // it is known that the wait will take longer than that, and the context's error
 // if that ends first.
-func (l *Line[T]) Acquire(ctx context.Context, class model.Class, leaveBy time.Time) (T, error) {
+func (l *Queue[T]) Acquire(ctx context.Context, class model.Class, leaveBy time.Time) (T, error) {
 	permission, ok, _ := l.TryAcquire(class)
 	if ok {
 		return permission, nil
@@ -100,20 +100,20 @@
 }
 
 // Expected returns how long a request of the class would wait now.
-func (l *Line[T]) Expected(class model.Class) time.Duration {
+func (l *Queue[T]) Expected(class model.Class) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.expected(class)
 }
 
-// Review refuses the requests that can no longer be served in time. It is
+// RefuseLate refuses the requests that can no longer be served in time. It is
 // called when the pace may have fallen.
 //
 // Guard against requests that are held until their deadline after the grant or
 // the targets they wait for have gone: it shows as callers that learn at the
 // last moment what was known long before. The guard holds because each waiting
 // request is judged by the same rule as one that comes now.
-func (l *Line[T]) Review() {
+func (l *Queue[T]) RefuseLate() {
 	if l.waiting.Load() == 0 {
 		return
 	}
@@ -129,7 +129,7 @@
 
 // Wake serves waiting requests as far as the source permits. It is called
 // whenever a permission becomes free.
-func (l *Line[T]) Wake() {
+func (l *Queue[T]) Wake() {
 	if l.waiting.Load() == 0 {
 		return
 	}
@@ -138,7 +138,7 @@
 	l.serve()
 }
 
-func (l *Line[T]) join(class model.Class, leaveBy time.Time) (*waiter[T], error) {
+func (l *Queue[T]) join(class model.Class, leaveBy time.Time) (*waiter[T], error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Now().Add(l.expected(class)).After(leaveBy) {
@@ -159,7 +159,7 @@
 
 // leave takes the waiter out. If it was served in the same moment the
 // permission goes to the next one.
-func (l *Line[T]) leave(w *waiter[T], cause error) (none T, err error) {
+func (l *Queue[T]) leave(w *waiter[T], cause error) (none T, err error) {
 	l.mu.Lock()
 	l.remove(w)
 	l.mu.Unlock()
@@ -172,7 +172,7 @@
 	return none, cause
 }
 
-func (l *Line[T]) remove(w *waiter[T]) {
+func (l *Queue[T]) remove(w *waiter[T]) {
 	list := &l.fast
 	if w.class == model.Bulk {
 		list = &l.bulk
@@ -186,7 +186,7 @@
 	}
 }
 
-func (l *Line[T]) expected(class model.Class) time.Duration {
+func (l *Queue[T]) expected(class model.Class) time.Duration {
 	first, each := l.outlook()
 	ahead := len(l.fast)
 	if class == model.Bulk {
@@ -197,17 +197,17 @@
 
 // outlook returns how long the first of the line waits and each one behind it
 // in addition.
-func (l *Line[T]) outlook() (first, each time.Duration) {
-	pace := l.source.Pace()
+func (l *Queue[T]) outlook() (first, each time.Duration) {
+	pace := l.source.Rate()
 	if pace <= 0 {
 		return never, 0
 	}
-	return l.source.Wait(), time.Duration(min(1/pace, never.Seconds()) * float64(time.Second))
+	return l.source.MinWait(), time.Duration(min(1/pace, never.Seconds()) * float64(time.Second))
 }
 
 // dropLate refuses those of a list that will not be served by their time. The
 // first one is served at the time given and each next one later by each.
-func (l *Line[T]) dropLate(list []*waiter[T], served time.Time, each time.Duration) []*waiter[T] {
+func (l *Queue[T]) dropLate(list []*waiter[T], served time.Time, each time.Duration) []*waiter[T] {
 	kept := list[:0]
 	for _, w := range list {
 		if served.After(w.leaveBy) {
@@ -223,14 +223,14 @@
 }
 
 // serve is called with the lock held.
-func (l *Line[T]) serve() {
+func (l *Queue[T]) serve() {
 	if l.serveList(&l.fast) {
 		l.serveList(&l.bulk)
 	}
 }
 
 // serveList returns whether the list was served whole.
-func (l *Line[T]) serveList(list *[]*waiter[T]) bool {
+func (l *Queue[T]) serveList(list *[]*waiter[T]) bool {
 	for len(*list) > 0 {
 		w := (*list)[0]
 		permission, ok, wait := l.source.Acquire(w.class)
@@ -246,7 +246,7 @@
 	return true
 }
 
-func (l *Line[T]) askAgain(wait time.Duration) {
+func (l *Queue[T]) askAgain(wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
--- a/proxy/queue/line_test.go
+++ b/proxy/queue/queue_test.go
@@ -36,12 +36,12 @@
 	s.free++
 }
 
-func (s *slots) Pace() float64 { return s.pace }
+func (s *slots) Rate() float64 { return s.pace }
 
-func (*slots) Wait() time.Duration { return 0 }
+func (*slots) MinWait() time.Duration { return 0 }
 
 // serve holds a permission for the time a request takes.
-func serve(l *Line[int], s *slots, permission int, took time.Duration) {
+func serve(l *Queue[int], s *slots, permission int, took time.Duration) {
 	time.Sleep(took)
 	s.Release(permission)
 	l.Wake()
@@ -51,7 +51,7 @@
 func TestBulkNeverHoldsAnOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slots{free: 1, pace: 1000}
-		l := NewLine[int](s)
+		l := New[int](s)
 		held, _, _ := l.TryAcquire(model.NonIdempotent)
 		late := time.Now().Add(time.Hour)
 		var order []string
@@ -89,7 +89,7 @@
 func TestLateRequestIsRefusedWhenItComes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slots{free: 0, pace: 10}
-		l := NewLine[int](s)
+		l := New[int](s)
 		ctx, cancel := context.WithCancel(context.Background())
 		for range 10 {
 			go func() { _, _ = l.Acquire(ctx, model.Idempotent, time.Now().Add(time.Hour)) }()
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const all = 3
 		s := &slots{free: all, pace: 1e9}
-		l := NewLine[int](s)
+		l := New[int](s)
 		var done sync.WaitGroup
 		for i := range 500 {
 			done.Go(func() {
@@ -151,15 +151,15 @@
 }
 
 func (*lateSlot) Release(int)   {}
-func (*lateSlot) Pace() float64 { return 1 }
+func (*lateSlot) Rate() float64 { return 1 }
 
-func (*lateSlot) Wait() time.Duration { return 0 }
+func (*lateSlot) MinWait() time.Duration { return 0 }
 
 // A slot becomes free between a request's question and its wait. The request
 // must not wait for a wake-up that has passed.
 func TestNoLostWakeUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewLine[int](&lateSlot{})
+		l := New[int](&lateSlot{})
 		if _, err := l.Acquire(context.Background(), model.Idempotent, time.Now().Add(time.Hour)); err != nil {
 			t.Error(err)
 		}
@@ -170,7 +170,7 @@
 // the next one.
 func TestPermissionOfAWaiterThatLeftIsPassedOn(t *testing.T) {
 	s := &slots{free: 0, pace: 1}
-	l := NewLine[int](s)
+	l := New[int](s)
 	w, err := l.join(model.Idempotent, time.Now().Add(time.Hour))
 	if err != nil {
 		t.Fatal(err)
@@ -191,7 +191,7 @@
 func TestWaitingRequestsAreRefusedWhenThePaceFalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slots{pace: 100}
-		l := NewLine[int](s)
+		l := New[int](s)
 		came := time.Now()
 		refused := make(map[time.Duration]int)
 		var mu sync.Mutex
@@ -212,7 +212,7 @@
 		}{{1, 20}, {0.1, 6}, {0, 0}} {
 			time.Sleep(time.Second)
 			s.pace = step.pace
-			l.Review()
+			l.RefuseLate()
 			synctest.Wait()
 			if n := l.Waiting(); n != step.left {
 				t.Errorf("%d wait at a pace of %g a second, want %d", n, step.pace, step.left)
--- a/proxy/repeat.go
+++ b/proxy/repeat.go
@@ -11,7 +11,7 @@
 // runOnce runs a request with a key unless one with the same key ran or is in
 // hand at this node. A repeat takes no place, grant, slot or store call.
 func (p *Proxy) runOnce(ctx context.Context, q *request) ending {
-	print := kept.PrintOf(&q.out, q.remote)
+	print := kept.FingerprintOf(&q.out, q.remote)
 	for {
 		entry, first := p.kept.Begin(q.keyOf(), print)
 		if first {
@@ -30,7 +30,7 @@
 
 // repeat returns the end of a request whose key another one has, unless that
 // one turns out not to have run.
-func (p *Proxy) repeat(ctx context.Context, q *request, entry *kept.Entry, print kept.Print) (end ending, known bool) {
+func (p *Proxy) repeat(ctx context.Context, q *request, entry *kept.Entry, print kept.Fingerprint) (end ending, known bool) {
 	answer, code, dropped := answerFrom(ctx, entry, print)
 	if dropped {
 		return ending{}, false
@@ -52,11 +52,11 @@
 // It waits for a request in hand because that one's answer is on its way; if
 // its own deadline comes first, or the other ends without an answer, it is told
 // that at once.
-func answerFrom(ctx context.Context, entry *kept.Entry, print kept.Print) (answer *kept.Answer, code result.Code, dropped bool) {
-	if entry.Print.Work != print.Work {
+func answerFrom(ctx context.Context, entry *kept.Entry, print kept.Fingerprint) (answer *kept.Response, code result.Code, dropped bool) {
+	if entry.Fingerprint.Work != print.Work {
 		return nil, result.KeyReused, false
 	}
-	if entry.Print.Sender != print.Sender {
+	if entry.Fingerprint.Sender != print.Sender {
 		return nil, result.DuplicateKey, false
 	}
 	answer, dropped, err := entry.Wait(ctx)
@@ -68,7 +68,7 @@
 }
 
 // repeated is the end of a request that gets the answer to an earlier sending.
-func (p *Proxy) repeated(q *request, answer *kept.Answer) ending {
+func (p *Proxy) repeated(q *request, answer *kept.Response) ending {
 	q.service.state.metrics[q.class].keptAnswers.Inc(1)
 	return ending{answer: &answer.Answer, place: answer.Place, target: answer.Target}
 }
@@ -79,7 +79,7 @@
 func (p *Proxy) keep(entry *kept.Entry, q *request, end ending) {
 	switch {
 	case end.answer != nil:
-		p.kept.End(entry, &kept.Answer{Answer: *end.answer, Place: end.place, Target: end.target})
+		p.kept.End(entry, &kept.Response{Answer: *end.answer, Place: end.place, Target: end.target})
 	case !q.claimed || isNotRun(end.refusal.code):
 		p.kept.Drop(entry)
 	default:
--- a/proxy/repeat_test.go
+++ b/proxy/repeat_test.go
@@ -52,7 +52,7 @@
 	p := newTestProxy(t, keptWith(kv), target.address())
 	first := send(t.Context(), p, same)
 	wantResult(t, first, result.OK)
-	ask := func(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code) {
+	ask := func(ctx context.Context, vm string, key keys.Key, print kept.Fingerprint) (*kept.Response, result.Code) {
 		if vm != p.options.Node.VM {
 			return nil, result.Internal
 		}
--- a/proxy/reports.go
+++ b/proxy/reports.go
@@ -78,7 +78,7 @@
 		Place:      s.key.Place,
 		SentRPS:    perSecond(tried, interval),
 		RefusedRPS: perSecond(s.counts.refused.Swap(0), interval),
-		Targets:    ts.set.Usable(s.proxy.now()),
+		Targets:    ts.set.UsableCount(s.proxy.now()),
 		Known:      len(ts.members),
 	}
 	if tried > 0 {
