--- a/proxy/queue/queue.go
+++ b/proxy/queue/queue.go
@@ -1,6 +1,6 @@
 // Package queue holds requests that wait for a slot at a target or for the
-// node's grant. A wait is bounded by the deadline of the request: one that
-// cannot be served in time is refused when it comes, not when it is too late.
+// node's grant. A request whose expected wait exceeds its deadline is refused
+// on arrival, while its caller can still go elsewhere.
 package queue
 
 import (
@@ -14,244 +14,241 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// ErrLate tells that the request could not be served before its deadline.
+// ErrLate reports that the request cannot be served before its deadline.
 var ErrLate = errors.New("queue: the deadline cannot be met")
 
-// never is the wait reported while nothing is known to come.
-const never = time.Hour
+// maxWait is the expected wait while the service rate is zero.
+const maxWait = time.Hour
 
-// Source is where the requests of a line get what they wait for.
+// Source issues the permissions that queued requests wait for.
 type Source[T any] interface {
-	// Acquire takes a permission for one request of the class. If there is
-	// none it returns false and when to ask again; 0 means that Wake will be
-	// called.
+	// Acquire takes a permission for one request of the class. If none is
+	// free it returns false and the time until the next attempt; 0 means that
+	// Wake will be called.
 	Acquire(class model.Class) (permission T, ok bool, wait time.Duration)
-	// Release gives an unused permission back.
+	// Release returns an unused permission.
 	Release(permission T)
-	// Rate returns how many requests a second the line serves at present; 0 if
-	// nothing is known to come.
+	// Rate returns the current service rate of the queue in requests per
+	// second; 0 if no permissions are expected.
 	Rate() float64
-	// MinWait returns how long the first of the line waits at least.
+	// MinWait returns the minimum wait of the request at the head of the queue.
 	MinWait() time.Duration
 }
 
-// Queue is the queue of one service in one place. Work that a person waits for
-// goes before bulk work; within each the first to come is the first served.
+// Queue is the queue of one service in one place. Interactive requests are
+// served before bulk requests, each kind in order of arrival.
 type Queue[T any] struct {
 	source  Source[T]
 	waiting atomic.Int32
 
-	mu    sync.Mutex
-	fast  []*waiter[T]
-	bulk  []*waiter[T]
-	timer *time.Timer
+	mu          sync.Mutex
+	interactive []*waiter[T]
+	bulk        []*waiter[T]
+	timer       *time.Timer
 }
 
 type waiter[T any] struct {
-	class   model.Class
-	leaveBy time.Time
-	// ready has room for one, so that handing over never blocks.
-	ready chan T
-	// late is closed when the request is refused before leaveBy.
-	late chan struct{}
+	class    model.Class
+	deadline time.Time
+	// granted has a buffer of one, so that sending never blocks.
+	granted chan T
+	// refused is closed when the request is refused before its deadline.
+	refused chan struct{}
 }
 
-// New returns an empty line.
+// New returns an empty queue.
 func New[T any](source Source[T]) *Queue[T] {
 	return &Queue[T]{source: source}
 }
 
-// Waiting returns how many requests wait.
-func (l *Queue[T]) Waiting() int { return int(l.waiting.Load()) }
+// Waiting returns the number of queued requests.
+func (q *Queue[T]) Waiting() int { return int(q.waiting.Load()) }
 
-// TryAcquire takes a permission if nobody waits and one is free. It returns
-// how long the source asks to wait otherwise.
-func (l *Queue[T]) TryAcquire(class model.Class) (permission T, ok bool, wait time.Duration) {
-	if l.waiting.Load() > 0 {
+// TryAcquire takes a permission if the queue is empty and one is free.
+// Otherwise it returns the wait that the source asks for.
+func (q *Queue[T]) TryAcquire(class model.Class) (permission T, ok bool, wait time.Duration) {
+	if q.waiting.Load() > 0 {
 		return permission, false, 0
 	}
-	return l.source.Acquire(class)
+	return q.source.Acquire(class)
 }
 
-// Acquire waits for a permission until leaveBy. It returns ErrLate as soon as
-// it is known that the wait will take longer than that, and the context's error
-// if that ends first.
-func (l *Queue[T]) Acquire(ctx context.Context, class model.Class, leaveBy time.Time) (T, error) {
-	permission, ok, _ := l.TryAcquire(class)
+// Acquire waits for a permission until the deadline. It returns ErrLate as soon
+// as the expected wait exceeds the deadline, and the context's error if the
+// context ends first.
+func (q *Queue[T]) Acquire(ctx context.Context, class model.Class, deadline time.Time) (T, error) {
+	permission, ok, _ := q.TryAcquire(class)
 	if ok {
 		return permission, nil
 	}
-	w, err := l.join(class, leaveBy)
+	w, err := q.enqueue(class, deadline)
 	if err != nil {
 		return permission, err
 	}
-	late := time.NewTimer(time.Until(leaveBy))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
 	select {
-	case permission = <-w.ready:
+	case permission = <-w.granted:
 		return permission, nil
-	case <-w.late:
+	case <-w.refused:
 		return permission, ErrLate
-	case <-late.C:
-		return l.leave(w, ErrLate)
+	case <-timer.C:
+		return q.abandon(w, ErrLate)
 	case <-ctx.Done():
-		return l.leave(w, ctx.Err())
+		return q.abandon(w, ctx.Err())
 	}
 }
 
-// Expected returns how long a request of the class would wait now.
-func (l *Queue[T]) Expected(class model.Class) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.expected(class)
+// Expected returns the expected wait of a new request of the class.
+func (q *Queue[T]) Expected(class model.Class) time.Duration {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.expected(class)
 }
 
-// RefuseLate refuses the requests that can no longer be served in time. It is
-// called when the pace may have fallen.
-//
-// Guard against requests that are held until their deadline after the grant or
-// the targets they wait for have gone: it shows as callers that learn at the
-// last moment what was known long before. The guard holds because each waiting
-// request is judged by the same rule as one that comes now.
-func (l *Queue[T]) RefuseLate() {
-	if l.waiting.Load() == 0 {
+// RefuseLate refuses the queued requests that can no longer be served in time.
+// It must be called when the service rate may have dropped; otherwise these
+// requests are held until their deadlines.
+func (q *Queue[T]) RefuseLate() {
+	if q.waiting.Load() == 0 {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.serve()
-	first, each := l.outlook()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.serve()
+	first, each := q.estimate()
 	now := time.Now()
-	l.fast = l.dropLate(l.fast, now.Add(first), each)
-	first += time.Duration(len(l.fast)) * each
-	l.bulk = l.dropLate(l.bulk, now.Add(first), each)
+	q.interactive = q.dropLate(q.interactive, now.Add(first), each)
+	first += time.Duration(len(q.interactive)) * each
+	q.bulk = q.dropLate(q.bulk, now.Add(first), each)
 }
 
-// Wake serves waiting requests as far as the source permits. It is called
+// Wake serves queued requests as far as the source permits. It must be called
 // whenever a permission becomes free.
-func (l *Queue[T]) Wake() {
-	if l.waiting.Load() == 0 {
+func (q *Queue[T]) Wake() {
+	if q.waiting.Load() == 0 {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.serve()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.serve()
 }
 
-func (l *Queue[T]) join(class model.Class, leaveBy time.Time) (*waiter[T], error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if time.Now().Add(l.expected(class)).After(leaveBy) {
+func (q *Queue[T]) enqueue(class model.Class, deadline time.Time) (*waiter[T], error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if time.Now().Add(q.expected(class)).After(deadline) {
 		return nil, ErrLate
 	}
-	w := &waiter[T]{class: class, leaveBy: leaveBy, ready: make(chan T, 1), late: make(chan struct{})}
-	l.waiting.Add(1)
+	w := &waiter[T]{class: class, deadline: deadline, granted: make(chan T, 1), refused: make(chan struct{})}
+	q.waiting.Add(1)
 	if class == model.Bulk {
-		l.bulk = append(l.bulk, w)
+		q.bulk = append(q.bulk, w)
 	} else {
-		l.fast = append(l.fast, w)
+		q.interactive = append(q.interactive, w)
 	}
-	// A permission that became free before the request was counted as waiting
-	// woke nobody; ask once more.
-	l.serve()
+	// A permission that became free before waiting was incremented did not
+	// call serve, so try again.
+	q.serve()
 	return w, nil
 }
 
-// leave takes the waiter out. If it was served in the same moment the
-// permission goes to the next one.
-func (l *Queue[T]) leave(w *waiter[T], cause error) (none T, err error) {
-	l.mu.Lock()
-	l.remove(w)
-	l.mu.Unlock()
+// abandon removes the waiter. If a permission was granted concurrently, it is
+// returned and offered to the next waiter.
+func (q *Queue[T]) abandon(w *waiter[T], cause error) (none T, err error) {
+	q.mu.Lock()
+	q.remove(w)
+	q.mu.Unlock()
 	select {
-	case permission := <-w.ready:
-		l.source.Release(permission)
-		l.Wake()
+	case permission := <-w.granted:
+		q.source.Release(permission)
+		q.Wake()
 	default:
 	}
 	return none, cause
 }
 
-func (l *Queue[T]) remove(w *waiter[T]) {
-	list := &l.fast
+func (q *Queue[T]) remove(w *waiter[T]) {
+	list := &q.interactive
 	if w.class == model.Bulk {
-		list = &l.bulk
+		list = &q.bulk
 	}
 	for i, other := range *list {
 		if other == w {
 			*list = append((*list)[:i], (*list)[i+1:]...)
-			l.waiting.Add(-1)
+			q.waiting.Add(-1)
 			return
 		}
 	}
 }
 
-func (l *Queue[T]) expected(class model.Class) time.Duration {
-	first, each := l.outlook()
-	ahead := len(l.fast)
+func (q *Queue[T]) expected(class model.Class) time.Duration {
+	first, each := q.estimate()
+	ahead := len(q.interactive)
 	if class == model.Bulk {
-		ahead += len(l.bulk)
+		ahead += len(q.bulk)
 	}
 	return first + time.Duration(ahead)*each
 }
 
-// outlook returns how long the first of the line waits and each one behind it
-// in addition.
-func (l *Queue[T]) outlook() (first, each time.Duration) {
-	pace := l.source.Rate()
-	if pace <= 0 {
-		return never, 0
+// estimate returns the expected wait of the head of the queue and the
+// additional wait of each request behind it.
+func (q *Queue[T]) estimate() (first, each time.Duration) {
+	rate := q.source.Rate()
+	if rate <= 0 {
+		return maxWait, 0
 	}
-	return l.source.MinWait(), time.Duration(min(1/pace, never.Seconds()) * float64(time.Second))
+	return q.source.MinWait(), time.Duration(min(1/rate, maxWait.Seconds()) * float64(time.Second))
 }
 
-// dropLate refuses those of a list that will not be served by their time. The
-// first one is served at the time given and each next one later by each.
-func (l *Queue[T]) dropLate(list []*waiter[T], served time.Time, each time.Duration) []*waiter[T] {
-	kept := list[:0]
+// dropLate refuses the waiters of a list that will not be served by their
+// deadlines. The first one is served at the given time, each further one later
+// by each.
+func (q *Queue[T]) dropLate(list []*waiter[T], served time.Time, each time.Duration) []*waiter[T] {
+	remaining := list[:0]
 	for _, w := range list {
-		if served.After(w.leaveBy) {
-			l.waiting.Add(-1)
-			close(w.late)
+		if served.After(w.deadline) {
+			q.waiting.Add(-1)
+			close(w.refused)
 			continue
 		}
 		served = served.Add(each)
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(list[len(kept):])
-	return kept
+	clear(list[len(remaining):])
+	return remaining
 }
 
-// serve is called with the lock held.
-func (l *Queue[T]) serve() {
-	if l.serveList(&l.fast) {
-		l.serveList(&l.bulk)
+// serve must be called with mu held.
+func (q *Queue[T]) serve() {
+	if q.serveList(&q.interactive) {
+		q.serveList(&q.bulk)
 	}
 }
 
-// serveList returns whether the list was served whole.
-func (l *Queue[T]) serveList(list *[]*waiter[T]) bool {
+// serveList reports whether every waiter of the list was served.
+func (q *Queue[T]) serveList(list *[]*waiter[T]) bool {
 	for len(*list) > 0 {
 		w := (*list)[0]
-		permission, ok, wait := l.source.Acquire(w.class)
+		permission, ok, wait := q.source.Acquire(w.class)
 		if !ok {
-			l.askAgain(wait)
+			q.wakeAfter(wait)
 			return false
 		}
 		(*list)[0] = nil
 		*list = (*list)[1:]
-		l.waiting.Add(-1)
-		w.ready <- permission
+		q.waiting.Add(-1)
+		w.granted <- permission
 	}
 	return true
 }
 
-func (l *Queue[T]) askAgain(wait time.Duration) {
+func (q *Queue[T]) wakeAfter(wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
-	if l.timer != nil {
-		l.timer.Stop()
+	if q.timer != nil {
+		q.timer.Stop()
 	}
-	l.timer = time.AfterFunc(wait, l.Wake)
+	q.timer = time.AfterFunc(wait, q.Wake)
 }
