--- a/proxy/balance/compare_test.go
+++ b/proxy/balance/compare_test.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// roundRobin takes the targets in turn.
+// roundRobin selects the targets in turn.
 type roundRobin struct{ next int }
 
 func (c *roundRobin) choose(int64, *rand.Rand) int {
 	c.next++
 	return c.next % simTargets
 }
-func (*roundRobin) sent(int)                                     {}
-func (*roundRobin) ended(int, ending, time.Duration, int, int64) {}
+func (*roundRobin) sent(int)                                      {}
+func (*roundRobin) ended(int, outcome, time.Duration, int, int64) {}
 
-// leastOutstanding takes the target with the fewest of the node's own requests.
-type leastOutstanding struct{ open [simTargets]int }
+// leastOutstanding selects the target with the fewest of the node's own requests.
+type leastOutstanding struct{ outstanding [simTargets]int }
 
 func (c *leastOutstanding) choose(_ int64, random *rand.Rand) int {
 	best := random.IntN(simTargets)
 	for i := range simTargets {
 		j := (best + i) % simTargets
-		if c.open[j] < c.open[best] {
+		if c.outstanding[j] < c.outstanding[best] {
 			best = j
 		}
 	}
 	return best
 }
-func (c *leastOutstanding) sent(target int) { c.open[target]++ }
-func (c *leastOutstanding) ended(target int, _ ending, _ time.Duration, _ int, _ int64) {
-	c.open[target]--
+func (c *leastOutstanding) sent(target int) { c.outstanding[target]++ }
+func (c *leastOutstanding) ended(target int, _ outcome, _ time.Duration, _ int, _ int64) {
+	c.outstanding[target]--
 }
 
-// twoByReport takes the less loaded of two targets by their last reports.
+// twoByReport selects the less loaded of two random targets by their last reports.
 type twoByReport struct{ reports [simTargets]int }
 
 func (c *twoByReport) choose(_ int64, random *rand.Rand) int {
@@ -45,27 +45,27 @@
 	return a
 }
 func (*twoByReport) sent(int) {}
-func (c *twoByReport) ended(target int, e ending, _ time.Duration, load int, _ int64) {
-	if e != silent {
+func (c *twoByReport) ended(target int, o outcome, _ time.Duration, load int, _ int64) {
+	if o != timedOut {
 		c.reports[target] = load
 	}
 }
 
-// ours is the choice of this package.
-type ours struct{ set *Set }
+// setPolicy is the policy of this package.
+type setPolicy struct{ set *Set }
 
-func newOurs() chooser { return &ours{set: newSet(simTargets, 100)} }
+func newSetPolicy() policy { return &setPolicy{set: newSet(simTargets, 100)} }
 
-func (c *ours) choose(now int64, random *rand.Rand) int {
+func (c *setPolicy) choose(now int64, random *rand.Rand) int {
 	return c.set.Acquire(now, random.Uint64(), 0)
 }
-func (*ours) sent(int) {}
-func (c *ours) ended(target int, e ending, took time.Duration, _ int, now int64) {
+func (*setPolicy) sent(int) {}
+func (c *setPolicy) ended(target int, o outcome, latency time.Duration, _ int, now int64) {
 	t := c.set.Targets[target]
 	t.Release()
-	switch e {
+	switch o {
 	case served:
-		t.RecordLatency(took)
+		t.RecordLatency(latency)
 		t.Health.RecordSuccess(now)
 	case shed:
 		t.RecordShed(now)
@@ -74,30 +74,29 @@
 	}
 }
 
-// comparison is one way to choose; lag is how old its load reports are.
+// comparison is a selection policy; lag is the age of its load reports.
 type comparison struct {
 	name string
-	new  func() chooser
+	new  func() policy
 	lag  time.Duration
 }
 
-func newTwoByReport() chooser { return &twoByReport{} }
+func newTwoByReport() policy { return &twoByReport{} }
 
-// The first is the choice of this package, which reads no reports.
+// The first entry is the policy of this package, which reads no reports.
 var comparisons = []comparison{
-	{"this package", newOurs, 0},
-	{"round robin", func() chooser { return &roundRobin{} }, 0},
-	{"least outstanding", func() chooser { return &leastOutstanding{} }, 0},
+	{"this package", newSetPolicy, 0},
+	{"round robin", func() policy { return &roundRobin{} }, 0},
+	{"least outstanding", func() policy { return &leastOutstanding{} }, 0},
 	{"two by report, 0.1 s old", newTwoByReport, 100 * time.Millisecond},
 	{"two by report, 10 s old", newTwoByReport, 10 * time.Second},
 }
 
-// The same 20 seconds of load, with a slow, a lying, a failing, a cold and a
-// silent target and a peak, under four ways to choose, with few and with many
-// entry nodes and load reports of any age. The choice of this package must be
-// the best of them by p99 and by requests lost. The table is in
+// The policy of this package must have the lowest p99 latency and the fewest lost
+// requests of all policies, with slow, misreporting, failing, cold and
+// unresponsive targets and a load peak. The results are in
 // docs/design/0006-target-choice.md.
-func TestChoiceAgainstOthers(t *testing.T) {
+func TestSelectionAgainstOtherPolicies(t *testing.T) {
 	for _, nodes := range []int{8, 64} {
 		compare(t, nodes)
 	}
--- a/proxy/balance/set.go
+++ b/proxy/balance/set.go
@@ -1,33 +1,33 @@
-// Package balance chooses the target of a request among those of one service
-// in one place, by what this node's own traffic shows.
+// Package balance selects a request's target among those of one service in one
+// place, based on the latencies and failures of this node's own traffic.
 package balance
 
 import "sync"
 
-// Set is the targets of one service in one place. It is immutable; the targets
-// in it change.
+// Set holds the targets of one service in one place. The list is immutable; the
+// state of its targets changes.
 type Set struct {
 	Targets []*Target
 
-	// ejecting makes the check of the bound and the ejection one step: two
-	// targets that fail at once must not both be the last that may go.
-	ejecting sync.Mutex
+	// ejectMu makes the check of the ejection limit and the ejection atomic, so
+	// that concurrent failures cannot exceed the limit.
+	ejectMu sync.Mutex
 }
 
-// maxEjectedParts: at most one in this many targets is ejected at once.
-const maxEjectedParts = 2
+// minTargetsPerEjection allows one ejected target for each this many targets.
+const minTargetsPerEjection = 2
 
-// spareLoad is how much of the rest's slots may be in use when one more target
-// is ejected.
-const spareLoad = 0.8
+// maxRemainingLoad is the highest share of the remaining targets' slots that may
+// be in use after an ejection.
+const maxRemainingLoad = 0.8
 
-// Skip marks targets by index that a request must not go to again.
+// Skip is a set of target indexes that a request must not be sent to again.
 type Skip uint64
 
-// maxSkip is how many targets a Skip can mark; later ones are never marked.
+// maxSkip is the number of indexes that a Skip can hold; higher ones are ignored.
 const maxSkip = 64
 
-// With returns the marks with one more.
+// With returns the set with one more index.
 func (s Skip) With(index int) Skip {
 	if index >= maxSkip {
 		return s
@@ -35,11 +35,11 @@
 	return s | 1<<index
 }
 
-// Has reports whether a target is marked.
+// Has reports whether the index is in the set.
 func (s Skip) Has(index int) bool { return index < maxSkip && s&(1<<index) != 0 }
 
-// Acquire chooses a target that may get new work and has a free slot, takes the
-// slot and returns the target's index, or -1.
+// Acquire selects an available target, takes one of its slots and returns its
+// index, or -1 if none is available.
 func (s *Set) Acquire(now int64, random uint64, skip Skip) int {
 	for {
 		i := s.choose(now, random, skip)
@@ -47,13 +47,13 @@
 			return i
 		}
 		if s.Targets[i].Acquire() {
-			s.Targets[i].chosen(now)
+			s.Targets[i].recordChoice(now)
 			return i
 		}
 	}
 }
 
-// UsableCount returns how many targets may get new work.
+// UsableCount returns the number of targets that may get new work.
 func (s *Set) UsableCount(now int64) int {
 	n := 0
 	for _, t := range s.Targets {
@@ -64,8 +64,8 @@
 	return n
 }
 
-// Slots returns the slots this node has and how many of them are free, over the
-// targets that may get new work.
+// Slots returns the total and the free slots of this node at the targets that
+// may get new work.
 func (s *Set) Slots(now int64) (slots, free int) {
 	for _, t := range s.Targets {
 		if !t.Usable(now) {
@@ -77,39 +77,40 @@
 	return slots, free
 }
 
-// guard implements eject.Guard at one time.
+// guard implements eject.Guard for a set at a fixed time.
 type guard struct {
 	set *Set
 	now int64
 }
 
-// RecordFailure counts a failure of the target at an index.
+// RecordFailure counts a failure of the target at the index and reports whether
+// it was ejected.
 func (s *Set) RecordFailure(index int, now int64) bool {
-	s.ejecting.Lock()
-	defer s.ejecting.Unlock()
+	s.ejectMu.Lock()
+	defer s.ejectMu.Unlock()
 	return s.Targets[index].Health.RecordFailure(now, guard{set: s, now: now})
 }
 
 // MayEject implements eject.Guard: at least half of the targets stay, and the
-// rest must have slots to spare for what is under way now. Without this bound
-// a fault that all targets share would push the last ones over.
+// remaining slots must cover the requests in flight. Otherwise a fault common to
+// all targets would overload the last ones.
 func (g guard) MayEject() bool {
-	live, out, busy, slots := 0, 0, 0, 0
+	live, ejected, inFlight, slots := 0, 0, 0, 0
 	for _, t := range g.set.Targets {
 		if t.Leaving() {
 			continue
 		}
 		live++
-		busy += t.Outstanding()
+		inFlight += t.Outstanding()
 		if t.Health.Ejected(g.now) {
-			out++
+			ejected++
 			continue
 		}
 		slots += t.Limit()
 	}
-	if live == 0 || (out+1)*maxEjectedParts > live {
+	if live == 0 || (ejected+1)*minTargetsPerEjection > live {
 		return false
 	}
-	rest := float64(slots) * float64(live-out-1) / float64(live-out)
-	return float64(busy) <= spareLoad*rest
+	remaining := float64(slots) * float64(live-ejected-1) / float64(live-ejected)
+	return float64(inFlight) <= maxRemainingLoad*remaining
 }
--- a/proxy/balance/set_test.go
+++ b/proxy/balance/set_test.go
@@ -16,9 +16,8 @@
 	return s
 }
 
-// All targets fail, as when the service behind them is broken. Ejecting them
-// all would leave the last ones with everything; half always stays.
-func TestHalfOfTheTargetsStays(t *testing.T) {
+// When all targets fail, at least half of them must stay in use.
+func TestAtMostHalfOfTheTargetsIsEjected(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		s := newSet(n, 3)
 		for range 100 {
@@ -27,12 +26,12 @@
 			}
 		}
 		if usable := s.UsableCount(settled); usable != n-n/2 {
-			t.Fatalf("%d of %d targets stay", usable, n)
+			t.Fatalf("%d of %d targets usable", usable, n)
 		}
 	}
 }
 
-// The rest is busy already. Ejecting one more target would push it over.
+// A target must not be ejected if the others lack slots for its requests.
 func TestNoEjectionIntoOverload(t *testing.T) {
 	s := newSet(4, 3)
 	for i := range s.Targets {
@@ -45,13 +44,13 @@
 		s.RecordFailure(0, settled)
 	}
 	if usable := s.UsableCount(settled); usable != 4 {
-		t.Fatalf("%d targets left for %d requests under way", usable, 9)
+		t.Fatalf("%d targets usable with %d requests in flight", usable, 9)
 	}
 }
 
-// No target gets more requests at once than its limit, and leaving, ejected and
-// marked targets get none.
-func TestAcquireKeepsToOpenTargets(t *testing.T) {
+// No target may get more concurrent requests than its limit; leaving, ejected,
+// paused and skipped targets must get none.
+func TestAcquireUsesOnlyAvailableTargets(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := newSet(6, 2)
 	s.Targets[0].SetListedLeaving(true)
@@ -73,12 +72,12 @@
 		t.Fatalf("requests %v", got)
 	}
 	if i := s.Acquire(settled+int64(ShedPause), random.Uint64(), skip); i != 3 {
-		t.Fatalf("target %d, want the one whose pause is over", i)
+		t.Fatalf("target %d, want the one whose pause has ended", i)
 	}
 }
 
-// A target fails fast. Its failures must not make it look like the fastest.
-func TestFailingFastAttractsNothing(t *testing.T) {
+// Fast failures must not lower the latency estimate of a target.
+func TestFailureKeepsLatency(t *testing.T) {
 	s := newSet(2, 100)
 	s.Targets[0].RecordLatency(10 * time.Millisecond)
 	s.Targets[1].RecordLatency(10 * time.Millisecond)
@@ -89,7 +88,7 @@
 	}
 }
 
-// A new target gets a small part at first: it is cold.
+// A new target must start with a small share of the requests.
 func TestNewTargetStartsSlowly(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	s := newSet(4, 1000)
@@ -103,46 +102,45 @@
 	}
 }
 
-// One target of four stalls for a moment and answers one request late. Callers come
-// one at a time, so that one of the others is always free: the target had no work
-// from then on, however quick it was again, as only an answer changes the estimate.
-func TestSlowAnswerIsForgiven(t *testing.T) {
-	const every = 100 * time.Millisecond
+// A target must get requests again after one slow response, even if other targets
+// are always free.
+func TestSlowResponseDecays(t *testing.T) {
+	const interval = 100 * time.Millisecond
 	s := newSet(4, 3)
 	random := rand.New(rand.NewPCG(1, 2))
 	s.Targets[0].RecordLatency(time.Second)
-	asked, again := 0, 0
-	for now := time.Duration(0); now < 3*estimateLife; now += every {
+	sent, repeated := 0, 0
+	for now := time.Duration(0); now < 3*estimateLifetime; now += interval {
 		i := s.Acquire(int64(now), random.Uint64(), 0)
 		s.Targets[i].RecordLatency(5 * time.Millisecond)
 		s.Targets[i].Release()
-		asked++
+		sent++
 		if i == 0 {
-			again++
+			repeated++
 		}
 	}
-	if again == 0 || again > asked/2 {
-		t.Errorf("%d of %d requests came to the target that was slow once", again, asked)
+	if repeated == 0 || repeated > sent/2 {
+		t.Errorf("%d of %d requests went to the target that was slow once", repeated, sent)
 	}
 }
 
-// A target stays slow. It is asked now and then, and no more often for that.
-func TestSlowTargetIsAskedSeldom(t *testing.T) {
-	const every, lives = 10 * time.Millisecond, 6
+// A target that stays slow must get only an occasional request.
+func TestSlowTargetGetsFewRequests(t *testing.T) {
+	const interval, lifetimes = 10 * time.Millisecond, 6
 	s := newSet(4, 3)
 	random := rand.New(rand.NewPCG(1, 2))
 	slow := 0
-	for now := time.Duration(0); now < lives*estimateLife; now += every {
+	for now := time.Duration(0); now < lifetimes*estimateLifetime; now += interval {
 		i := s.Acquire(int64(now), random.Uint64(), 0)
-		took := 5 * time.Millisecond
+		latency := 5 * time.Millisecond
 		if i == 0 {
-			took = 200 * time.Millisecond
+			latency = 200 * time.Millisecond
 			slow++
 		}
-		s.Targets[i].RecordLatency(took)
+		s.Targets[i].RecordLatency(latency)
 		s.Targets[i].Release()
 	}
-	if slow < lives-1 || slow > 2*lives {
-		t.Errorf("a slow target was asked %d times in %d lives of an estimate", slow, lives)
+	if slow < lifetimes-1 || slow > 2*lifetimes {
+		t.Errorf("a slow target got %d requests in %d estimate lifetimes", slow, lifetimes)
 	}
 }
--- a/proxy/balance/simulation_test.go
+++ b/proxy/balance/simulation_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// This file is a small discrete simulation of targets and entry nodes in one
-// place, with a fixed seed: the same load script for every way to choose.
+// This file holds a discrete-event simulation of targets and entry nodes in one
+// place. Its seed is fixed, so that all selection policies see the same load.
 
 const (
 	simTargets   = 16
@@ -24,59 +24,59 @@
 	simPeakUntil = 17 * time.Second
 )
 
-// chooser is one node's way to choose. It learns only what a node can see.
-type chooser interface {
+// policy selects targets for one node, using only what that node can observe.
+type policy interface {
 	choose(now int64, random *rand.Rand) int
 	sent(target int)
-	// ended tells how a request ended; load is the report in the answer.
-	ended(target int, end ending, took time.Duration, load int, now int64)
+	// ended records the outcome of a request; load is the report in the response.
+	ended(target int, o outcome, latency time.Duration, load int, now int64)
 }
 
-type ending uint8
+type outcome uint8
 
 const (
-	served ending = iota
+	served outcome = iota
 	shed
 	failed
-	silent
+	timedOut
 )
 
-// simTarget is a target as it really is.
+// simTarget is the actual state of a target.
 type simTarget struct {
-	running int
-	waiting []simRequest
-	begun   int
-	report  int
-	asked   int64
+	running    int
+	waiting    []simRequest
+	started    int
+	report     int
+	reportedAt int64
 }
 
 type simRequest struct {
 	node, target int
-	began        int64
+	start        int64
 }
 
 type simEvent struct {
-	at   int64
-	seq  int
-	what func(now int64)
+	at  int64
+	seq int
+	run func(now int64)
 }
 
-type simQueueOfEvents []simEvent
+type simEventQueue []simEvent
 
-func (q simQueueOfEvents) Len() int { return len(q) }
-func (q simQueueOfEvents) Less(i, j int) bool {
+func (q simEventQueue) Len() int { return len(q) }
+func (q simEventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (q simQueueOfEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *simQueueOfEvents) Push(x any)   { *q = append(*q, x.(simEvent)) }
-func (q *simQueueOfEvents) Pop() any {
+func (q simEventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *simEventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *simEventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return last
 }
 
-// simResult is what callers saw.
+// simResult counts outcomes as seen by callers.
 type simResult struct {
 	sent, refused, failed int
 	latencies             []time.Duration
@@ -88,48 +88,48 @@
 }
 
 type simulation struct {
-	random  *rand.Rand
-	share   float64
-	events  simQueueOfEvents
-	seq     int
-	targets [simTargets]simTarget
-	nodes   []chooser
-	lag     time.Duration
-	result  simResult
-}
-
-// simulate runs the script. Reports of load are up to lag old, and the one of
-// target 1 always says idle.
-func simulate(newChooser func() chooser, nodes int, lag time.Duration) *simResult {
-	s := &simulation{random: rand.New(rand.NewPCG(4, 2)), lag: lag, share: 1 / float64(nodes)}
+	random    *rand.Rand
+	nodeShare float64
+	events    simEventQueue
+	seq       int
+	targets   [simTargets]simTarget
+	nodes     []policy
+	lag       time.Duration
+	result    simResult
+}
+
+// simulate runs the load script. Load reports are up to lag old; target 1 always
+// reports that it is idle.
+func simulate(newPolicy func() policy, nodes int, lag time.Duration) *simResult {
+	s := &simulation{random: rand.New(rand.NewPCG(4, 2)), lag: lag, nodeShare: 1 / float64(nodes)}
 	for i := range s.targets {
-		s.targets[i].asked = -int64(lag)
+		s.targets[i].reportedAt = -int64(lag)
 	}
 	for n := range nodes {
-		s.nodes = append(s.nodes, newChooser())
+		s.nodes = append(s.nodes, newPolicy())
 		s.arrive(n, 0)
 	}
 	for s.events.Len() > 0 {
 		e := heap.Pop(&s.events).(simEvent)
-		e.what(e.at)
+		e.run(e.at)
 	}
 	return &s.result
 }
 
-func (s *simulation) after(now int64, d time.Duration, what func(now int64)) {
+func (s *simulation) schedule(now int64, d time.Duration, run func(now int64)) {
 	s.seq++
-	heap.Push(&s.events, simEvent{at: now + int64(d), seq: s.seq, what: what})
+	heap.Push(&s.events, simEvent{at: now + int64(d), seq: s.seq, run: run})
 }
 
-// arrive makes the next request of a node come.
+// arrive schedules the next request of a node.
 func (s *simulation) arrive(node int, now int64) {
 	load := simBaseLoad
 	if at := time.Duration(now); at >= simPeakFrom && at < simPeakUntil {
 		load = simPeakLoad
 	}
-	perSecond := load * simTargets * simSlots / simService.Seconds() * s.share
-	wait := time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second))
-	s.after(now, wait, func(now int64) {
+	perSecond := load * simTargets * simSlots / simService.Seconds() * s.nodeShare
+	delay := time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second))
+	s.schedule(now, delay, func(now int64) {
 		if time.Duration(now) >= simLength {
 			return
 		}
@@ -148,13 +148,13 @@
 		return
 	}
 	s.nodes[node].sent(target)
-	r := simRequest{node: node, target: target, began: now}
+	r := simRequest{node: node, target: target, start: now}
 	t := &s.targets[target]
 	switch {
 	case target == 2 && between(now, 6, 12):
-		s.after(now, time.Millisecond, func(now int64) { s.end(r, failed, now) })
+		s.schedule(now, time.Millisecond, func(now int64) { s.end(r, failed, now) })
 	case target == 4 && between(now, 12, 14):
-		s.after(now, simDeadline, func(now int64) { s.end(r, silent, now) })
+		s.schedule(now, simDeadline, func(now int64) { s.end(r, timedOut, now) })
 	case t.running < simSlots:
 		s.run(r, now)
 	case len(t.waiting) < simQueue:
@@ -171,16 +171,16 @@
 func (s *simulation) run(r simRequest, now int64) {
 	t := &s.targets[r.target]
 	t.running++
-	t.begun++
-	took := float64(simService) * (0.5 + s.random.Float64())
-	// Target 0 is slow for a while; target 3 starts cold in the middle.
+	t.started++
+	duration := float64(simService) * (0.5 + s.random.Float64())
+	// Target 0 is slow for a while; target 3 restarts cold.
 	if r.target == 0 && between(now, 4, 10) {
-		took *= 4
+		duration *= 4
 	}
 	if r.target == 3 && between(now, 8, 10) {
-		took *= 5
+		duration *= 5
 	}
-	s.after(now, time.Duration(took), func(now int64) {
+	s.schedule(now, time.Duration(duration), func(now int64) {
 		t.running--
 		s.end(r, served, now)
 		if len(t.waiting) > 0 {
@@ -191,18 +191,18 @@
 	})
 }
 
-func (s *simulation) end(r simRequest, e ending, now int64) {
-	s.nodes[r.node].ended(r.target, e, time.Duration(now-r.began), s.reportOf(r.target, now), now)
-	s.count(e, r.began, now)
+func (s *simulation) end(r simRequest, o outcome, now int64) {
+	s.nodes[r.node].ended(r.target, o, time.Duration(now-r.start), s.reportOf(r.target, now), now)
+	s.count(o, r.start, now)
 }
 
-func (s *simulation) count(e ending, began, now int64) {
-	if time.Duration(began) < simWarmUp {
+func (s *simulation) count(o outcome, start, now int64) {
+	if time.Duration(start) < simWarmUp {
 		return
 	}
-	switch e {
+	switch o {
 	case served:
-		s.result.latencies = append(s.result.latencies, time.Duration(now-began))
+		s.result.latencies = append(s.result.latencies, time.Duration(now-start))
 	case shed:
 		s.result.refused++
 	default:
@@ -210,15 +210,15 @@
 	}
 }
 
-// reportOf returns the target's report, which is renewed once in lag.
+// reportOf returns the load report of the target, renewed once per lag.
 func (s *simulation) reportOf(target int, now int64) int {
 	if target == 1 {
 		return 0
 	}
 	t := &s.targets[target]
-	if now-t.asked >= int64(s.lag) {
+	if now-t.reportedAt >= int64(s.lag) {
 		t.report = t.running + len(t.waiting)
-		t.asked = now
+		t.reportedAt = now
 	}
 	return t.report
 }
--- a/proxy/balance/target.go
+++ b/proxy/balance/target.go
@@ -8,39 +8,40 @@
 	"github.com/yuccaroute/yuccaroute/proxy/eject"
 )
 
-// Bounds of what is learnt of a target.
+// Parameters of the per-target statistics.
 const (
-	latencyWeight = 0.2
-	// InitialLatency is assumed of a target that has not answered yet.
+	// latencySmoothing is the weight of one request in the latency average.
+	latencySmoothing = 0.2
+	// InitialLatency is the assumed latency of a target without responses yet.
 	InitialLatency = 10 * time.Millisecond
-	// estimateLife is how long after its last request the latency of a target has
-	// no say any more in the choice.
-	estimateLife = 10 * time.Second
-	// ShedPause is how long a target that refused work gets none.
+	// estimateLifetime is the time after which the latency of an unused target no
+	// longer affects selection.
+	estimateLifetime = 10 * time.Second
+	// ShedPause is how long a target gets no work after it refused a request.
 	ShedPause = 20 * time.Millisecond
 )
 
-// Target is one target as this node sees it. Choosing reads atomics only.
+// Target holds this node's view of one target. Selection reads only atomics.
 type Target struct {
 	Health *eject.Health
 
 	outstanding atomic.Int32
 	limit       atomic.Int32
-	// listed and told say that the target is leaving, by the VM list and by
-	// the target itself. The list lags, so it does not take back what the
-	// target told.
-	listed, told atomic.Bool
-	// shedUntil keeps new work away from a target that just refused some.
+	// listedLeaving is set from the VM list, reportedLeaving by the target itself.
+	// They are separate because the list lags and must not clear what the target
+	// reported.
+	listedLeaving, reportedLeaving atomic.Bool
+	// shedUntil is the end of the pause after a refused request.
 	shedUntil atomic.Int64
-	// latency is the moving average of served requests, float64 bits of ns.
+	// latency is the moving average of successful requests in ns, as float64 bits.
 	latency atomic.Uint64
-	// chosenAt is when the target was chosen last, idle the longest time between
-	// two choices since the last request that was served, both in ns.
-	chosenAt, idle atomic.Int64
+	// chosenAt is when the target was last chosen, maxIdle the longest time
+	// between two choices since the last successful request, both in ns.
+	chosenAt, maxIdle atomic.Int64
 }
 
-// NewTarget returns a target that begins its ramp now and takes at most limit
-// requests of this node at once.
+// NewTarget returns a target that starts its ramp now and accepts up to limit
+// concurrent requests of this node.
 func NewTarget(now int64, limit int) *Target {
 	t := &Target{Health: eject.NewHealth(now)}
 	t.limit.Store(int32(limit))
@@ -49,28 +50,29 @@
 	return t
 }
 
-// SetLimit changes how many requests of this node the target takes at once.
+// SetLimit changes the limit on this node's concurrent requests.
 func (t *Target) SetLimit(limit int) { t.limit.Store(int32(limit)) }
 
-// Limit returns how many requests of this node the target takes at once.
+// Limit returns the limit on this node's concurrent requests.
 func (t *Target) Limit() int { return int(t.limit.Load()) }
 
-// SetListedLeaving stores what the VM list says.
-func (t *Target) SetListedLeaving(leaving bool) { t.listed.Store(leaving) }
+// SetListedLeaving stores whether the VM list marks the target as leaving.
+func (t *Target) SetListedLeaving(leaving bool) { t.listedLeaving.Store(leaving) }
 
-// MarkLeaving stores that the target itself said it takes no new work.
-func (t *Target) MarkLeaving() { t.told.Store(true) }
+// MarkLeaving records that the target itself reported that it takes no new work.
+func (t *Target) MarkLeaving() { t.reportedLeaving.Store(true) }
 
-// Leaving reports whether the target gets no new work for good.
-func (t *Target) Leaving() bool { return t.listed.Load() || t.told.Load() }
+// Leaving reports whether the target permanently gets no new work.
+func (t *Target) Leaving() bool { return t.listedLeaving.Load() || t.reportedLeaving.Load() }
 
-// RecordShed keeps new work away for ShedPause: the target is known overloaded.
+// RecordShed pauses new work to the overloaded target for ShedPause.
 func (t *Target) RecordShed(now int64) { t.shedUntil.Store(now + int64(ShedPause)) }
 
-// Outstanding returns this node's requests at the target.
+// Outstanding returns the number of this node's requests in flight at the target.
 func (t *Target) Outstanding() int { return int(t.outstanding.Load()) }
 
-// Acquire takes one of the node's slots at the target.
+// Acquire takes one of this node's slots at the target, or returns false if none
+// is free.
 func (t *Target) Acquire() bool {
 	for {
 		n := t.outstanding.Load()
@@ -83,22 +85,22 @@
 	}
 }
 
-// Release gives the slot back.
+// Release frees a slot taken by Acquire.
 func (t *Target) Release() { t.outstanding.Add(-1) }
 
-// chosen notes that a request goes to the target.
-func (t *Target) chosen(now int64) {
+// recordChoice updates the idle time before a request is sent to the target.
+func (t *Target) recordChoice(now int64) {
 	idle := now - t.chosenAt.Swap(now)
-	if idle > t.idle.Load() {
-		t.idle.Store(idle)
+	if idle > t.maxIdle.Load() {
+		t.maxIdle.Store(idle)
 	}
 }
 
-// RecordLatency counts the latency of a request that the target served, for more after
-// the target was idle. Failures do not count: a target that fails fast would look
-// like the best one.
+// RecordLatency adds the latency of a successful request to the average, with a
+// higher weight after an idle time. Failures are not counted: a target that fails
+// fast would seem to be the best one.
 func (t *Target) RecordLatency(latency time.Duration) {
-	weight := min(1, max(latencyWeight, float64(t.idle.Swap(0))/float64(estimateLife)))
+	weight := min(1, max(latencySmoothing, float64(t.maxIdle.Swap(0))/float64(estimateLifetime)))
 	for {
 		old := t.latency.Load()
 		mean := math.Float64frombits(old)
@@ -109,7 +111,7 @@
 	}
 }
 
-// Latency returns the moving average.
+// Latency returns the moving average of the latency of successful requests.
 func (t *Target) Latency() time.Duration {
 	return time.Duration(math.Float64frombits(t.latency.Load()))
 }
