--- a/proxy/admission/bucket.go
+++ b/proxy/admission/bucket.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// retryNever is the wait reported while nothing is granted.
-const retryNever = time.Second
+// maxWait bounds the reported wait; it is also reported while nothing is granted.
+const maxWait = time.Second
 
-// Bucket enforces one Limit. It is safe for use by several goroutines.
+// Bucket is a token bucket that enforces one Limit. It is safe for concurrent use.
 type Bucket struct {
-	mu     sync.Mutex
-	limit  Limit
-	tokens float64
-	last   time.Time
+	mu         sync.Mutex
+	limit      Limit
+	tokens     float64
+	lastRefill time.Time
 }
 
-// NewBucket returns a bucket that permits nothing.
+// NewBucket returns a bucket that admits no requests until SetLimit is called.
 func NewBucket(now time.Time) *Bucket {
-	return &Bucket{last: now}
+	return &Bucket{lastRefill: now}
 }
 
-// SetLimit puts a limit in force. After it returns no request is admitted under the
-// one before: tokens saved up at a higher rate are cut to the new burst.
+// SetLimit replaces the limit. Tokens saved at a higher rate are reduced to the new
+// burst, so that no later request is admitted under the old limit.
 func (b *Bucket) SetLimit(limit Limit, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
 	b.limit = limit
-	b.clip(now)
+	b.capTokens(now)
 }
 
-// Take admits one request, or tells after which time it may be tried again.
-// The expiry of the surplus is checked here, on every admission: a process
-// that was paused past the expiry must not send a single request on it.
+// Take admits one request, or returns the time until the next attempt. The expiry
+// of the surplus is checked on every call, so that a process that was paused past
+// it sends no request on an expired surplus.
 func (b *Bucket) Take(now time.Time) (ok bool, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -42,8 +42,8 @@
 	return b.take(1, now)
 }
 
-// TakeLowPriority is Take for work that uses only what others leave free: it finds
-// half of the burst kept back.
+// TakeLowPriority is Take for low-priority work: it leaves about half of the burst
+// to other requests.
 func (b *Bucket) TakeLowPriority(now time.Time) (ok bool, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,16 +51,16 @@
 	return b.take(1+b.reserve(now), now)
 }
 
-// Return gives back a token whose request was never sent.
+// Return restores the token of a request that was never sent.
 func (b *Bucket) Return(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
 	b.tokens++
-	b.clip(now)
+	b.capTokens(now)
 }
 
-// Wait returns how long a request would wait for a token, 0 if there is one.
+// Wait returns the time until a token is available, 0 if one is now.
 func (b *Bucket) Wait(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +71,7 @@
 	return b.waitFor(1, now)
 }
 
-// RPS returns the rate in force.
+// RPS returns the rate in force, in requests per second.
 func (b *Bucket) RPS(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,30 +86,30 @@
 	return false, b.waitFor(need, now)
 }
 
-// reserve is less than the burst without one request, or the work that leaves
-// it would never be admitted.
+// reserve returns the tokens that low-priority requests leave in the bucket. It
+// stays below the burst less one request, or they would never be admitted.
 func (b *Bucket) reserve(now time.Time) float64 {
 	return max(0, (Burst(b.limit.RPS(now))-1)/2)
 }
 
 func (b *Bucket) refill(now time.Time) {
-	if !now.After(b.last) {
+	if !now.After(b.lastRefill) {
 		return
 	}
-	b.tokens += b.limit.earned(b.last, now)
-	b.last = now
-	b.clip(now)
+	b.tokens += b.limit.accrued(b.lastRefill, now)
+	b.lastRefill = now
+	b.capTokens(now)
 }
 
-func (b *Bucket) clip(now time.Time) {
+func (b *Bucket) capTokens(now time.Time) {
 	b.tokens = min(b.tokens, Burst(b.limit.RPS(now)))
 }
 
 func (b *Bucket) waitFor(need float64, now time.Time) time.Duration {
 	rps := b.limit.RPS(now)
 	if rps <= 0 || need > Burst(rps) {
-		return retryNever
+		return maxWait
 	}
 	seconds := (need - b.tokens) / rps
-	return min(time.Duration(math.Ceil(seconds*float64(time.Second))), retryNever)
+	return min(time.Duration(math.Ceil(seconds*float64(time.Second))), maxWait)
 }
--- a/proxy/admission/bucket_test.go
+++ b/proxy/admission/bucket_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// takeAll admits as many requests as the bucket gives at once.
+// takeAll takes requests until the bucket refuses one and returns their number.
 func takeAll(b *Bucket, now time.Time) int {
 	n := 0
 	for {
@@ -32,7 +32,8 @@
 	}
 }
 
-// permits is the oracle: what a limit gives between two times.
+// permits computes independently how many requests a limit permits between two
+// times.
 func permits(l Limit, from, to time.Time) float64 {
 	total := l.Floor.RPS() * to.Sub(from).Seconds()
 	end := min(to.UnixNano(), l.Expires.UnixNano())
@@ -42,35 +43,35 @@
 	return total
 }
 
-// In any window, whatever limits come and go and however the process pauses,
-// no more is admitted than the limits in force permit and one burst.
-func TestNoWindowPassesTheGrant(t *testing.T) {
+// In any window, at most the requests permitted by the limits in force plus one
+// burst may be admitted, regardless of limit changes and pauses.
+func TestNoWindowExceedsTheGrant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		b := NewBucket(now)
-		in := Limit{}
-		// permitted and admitted count from the beginning of the window, which
-		// begins anew at random.
+		current := Limit{}
+		// permitted and admitted count from the start of the window, which is
+		// reset at random.
 		permitted, admitted, highest := 0.0, 0, 0.0
 		for range 200 {
 			step := time.Duration(rapid.Int64Range(0, int64(60*time.Millisecond)).Draw(t, "step"))
-			permitted += permits(in, now, now.Add(step))
+			permitted += permits(current, now, now.Add(step))
 			now = now.Add(step)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				expires := now.Add(time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(t, "expires")))
-				in = limit(rapid.Float64Range(0, 200).Draw(t, "floor"), rapid.Float64Range(0, 200).Draw(t, "surplus"), expires)
-				b.SetLimit(in, now)
+				current = limit(rapid.Float64Range(0, 200).Draw(t, "floor"), rapid.Float64Range(0, 200).Draw(t, "surplus"), expires)
+				b.SetLimit(current, now)
 			case 1:
 				permitted, admitted, highest = 0, 0, 0
 			}
-			highest = max(highest, (in.Floor + in.Surplus).RPS())
+			highest = max(highest, (current.Floor + current.Surplus).RPS())
 			if highest == 0 {
-				highest = in.RPS(now)
+				highest = current.RPS(now)
 			}
 			admitted += takeAll(b, now)
-			// The burst saved before the window counts at the rate that was in
-			// force then, which is at most what a lower limit left of it.
+			// The burst saved before the window is bounded by the highest rate
+			// since, as a lower limit reduces it.
 			if bound := permitted + Burst(highest) + 1e-6; float64(admitted) > bound {
 				t.Fatalf("%d admitted, at most %.2f permitted", admitted, bound)
 			}
@@ -78,15 +79,15 @@
 	})
 }
 
-// A process is paused past the end of its surplus and resumes. It must not send
-// what it had saved up at the higher rate.
+// A process paused past the expiry of its surplus must not spend tokens saved at
+// the higher rate.
 func TestPausedProcessKeepsOnlyItsFloor(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := NewBucket(start)
 	b.SetLimit(limit(10, 990, start.Add(time.Second)), start)
 	now := start.Add(900 * time.Millisecond)
 	if n := takeAll(b, now); n != 50 {
-		t.Fatalf("%d admitted at once at 1000 a second, want 50", n)
+		t.Fatalf("%d admitted at once at 1000 per second, want 50", n)
 	}
 	now = start.Add(time.Minute)
 	if n := takeAll(b, now); n != 1 {
@@ -94,9 +95,8 @@
 	}
 }
 
-// The grant is lowered in the same instant in which tokens of the old one are
-// there. They must not be spent afterwards.
-func TestLoweredGrantCutsTheBurst(t *testing.T) {
+// Tokens saved under a higher grant must not be spent after it is lowered.
+func TestLoweredGrantReducesTheBurst(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := NewBucket(start)
 	b.SetLimit(limit(1000, 0, start), start)
@@ -114,8 +114,8 @@
 	}
 }
 
-// The time to wait that callers are told is enough.
-func TestWaitIsEnough(t *testing.T) {
+// A request must be admitted after the returned wait.
+func TestWaitIsSufficient(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := NewBucket(now)
 	b.SetLimit(limit(7, 0, now), now)
@@ -131,7 +131,7 @@
 	}
 }
 
-// Work of low priority leaves half of the burst to the rest.
+// Low-priority requests must leave half of the burst to others.
 func TestLowPriorityLeavesAReserve(t *testing.T) {
 	start := time.Unix(1000, 0)
 	b := NewBucket(start)
@@ -141,13 +141,12 @@
 	for ok := true; ok; low++ {
 		ok, _ = b.TakeLowPriority(now)
 	}
-	if rest := takeAll(b, now); rest < 24 || low > 27 {
-		t.Fatalf("%d of low priority admitted, %d left to the rest", low-1, rest)
+	if remaining := takeAll(b, now); remaining < 24 || low > 27 {
+		t.Fatalf("%d low-priority requests admitted, %d left to others", low-1, remaining)
 	}
 }
 
-// Several goroutines share a bucket for a minute: they get the rate, no more
-// and no less.
+// Concurrent goroutines that share a bucket must together get its rate.
 func TestConcurrentUseGivesTheRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := NewBucket(time.Now())
@@ -169,14 +168,13 @@
 		}
 		done.Wait()
 		if n := admitted.Load(); n < 5950 || n > 6005 {
-			t.Errorf("%d admitted in a minute at 100 a second", n)
+			t.Errorf("%d admitted in a minute at 100 per second", n)
 		}
 	})
 }
 
-// Story: an entry VM's process is paused for a minute. Its floors are given to
-// others meanwhile. The first orders after the pause are admitted before any
-// timer of the process has run, and the place gets more than it carries.
+// After a long pause the floors may belong to other nodes: no request may be
+// admitted, even before any timer of the process has run.
 func TestPausedProcessAdmitsNothing(t *testing.T) {
 	const pauseLimit = 30 * time.Second
 	start := time.Unix(1000, 0)
--- a/proxy/admission/doc.go
+++ b/proxy/admission/doc.go
@@ -1,8 +1,8 @@
-// Package admission bounds the rate at which a node sends work to one place
-// by the node's grant for it.
+// Package admission limits the rate at which a node sends requests to one place
+// to the node's grant for that place.
 //
 // In any window of length w a bucket admits at most rate*w + Burst(rate)
-// requests, where rate is the highest amount in force in the window. The sum
-// of the bursts of all nodes is at most BurstTime of the summed grants, plus
-// one request for each node that holds a grant.
+// requests, where rate is the highest rate in force in the window. The bursts of
+// all nodes add up to at most BurstDuration times the sum of the grants, plus one
+// request for each node that holds a grant.
 package admission
--- a/proxy/admission/limit.go
+++ b/proxy/admission/limit.go
@@ -6,27 +6,25 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// BurstDuration is how much of its rate a bucket can hold back and admit at once.
+// BurstDuration is the time for which a bucket saves tokens at its rate.
 const BurstDuration = 50 * time.Millisecond
 
-// Limit is what one grant permits.
+// Limit is the rate limit set by one grant.
 type Limit struct {
-	// Floor stays in force until it is replaced.
+	// Floor is in force until it is replaced.
 	Floor grant.Amount
-	// Surplus is in force on top of Floor before Expires.
+	// Surplus is added to Floor until Expires.
 	Surplus grant.Amount
-	// Expires is read from the monotonic clock.
+	// Expires has a monotonic clock reading.
 	Expires time.Time
-	// Alive may be nil. While it is not live nothing is in force: the process
-	// was paused for so long that it may have been taken for ended and its
-	// floors given to others. A request that is admitted before the process
-	// notices the pause would send more than the place carries in sum; so each
-	// admission looks.
+	// Alive may be nil. While it is not live the limit is zero: after a long pause
+	// the floors of the process may have been granted to other nodes. It is checked
+	// on every admission, before the process itself has detected the pause.
 	Alive *grant.Liveness
 }
 
-// LimitOf returns the limit a set holds for a key; a nil set or a key that is
-// not in it permits nothing.
+// LimitOf returns the limit of a key in a set. It is zero if the set is nil or has
+// no such key.
 func LimitOf(set *grant.Set, key grant.Key) Limit {
 	if set == nil {
 		return Limit{}
@@ -40,7 +38,7 @@
 	return Limit{}
 }
 
-// RPS returns the rate in force at a time, in requests per second.
+// RPS returns the rate in force at the given time, in requests per second.
 func (l Limit) RPS(now time.Time) float64 {
 	if !l.live(now) {
 		return 0
@@ -53,8 +51,8 @@
 
 func (l Limit) live(now time.Time) bool { return l.Alive == nil || l.Alive.Live(now) }
 
-// earned returns how many requests the limit permits between two times.
-func (l Limit) earned(from, to time.Time) float64 {
+// accrued returns the number of tokens that accrue between two times.
+func (l Limit) accrued(from, to time.Time) float64 {
 	if !from.Before(to) || !l.live(to) {
 		return 0
 	}
@@ -68,9 +66,8 @@
 	return total
 }
 
-// Burst returns the most requests a bucket admits at once at a rate. A rate of
-// zero admits none; any other rate admits at least one, or it would admit
-// nothing at all.
+// Burst returns the capacity of a bucket at a rate. It is zero for a rate of zero
+// and at least one request for any other, or nothing would ever be admitted.
 func Burst(rps float64) float64 {
 	if rps <= 0 {
 		return 0
--- a/proxy/drain/gate.go
+++ b/proxy/drain/gate.go
@@ -1,5 +1,5 @@
-// Package drain counts the requests in hand and stops new ones when the node
-// takes part in a planned stop.
+// Package drain counts requests in flight and refuses new ones during a graceful
+// shutdown.
 package drain
 
 import (
@@ -8,59 +8,59 @@
 	"sync/atomic"
 )
 
-// closed marks a gate that lets nothing in; the bits below it count.
-const closed = int64(1) << 62
+// closedBit marks a closed gate; the lower bits count the requests in flight.
+const closedBit = int64(1) << 62
 
-// Gate lets requests in until it is closed. The zero value is open.
+// Gate admits requests until it is closed. The zero value is open.
 type Gate struct {
-	state   atomic.Int64
-	closing sync.Once
-	ending  sync.Once
-	emptied chan struct{}
+	state       atomic.Int64
+	closeOnce   sync.Once
+	drainedOnce sync.Once
+	drained     chan struct{}
 }
 
-// Enter counts a request in; it returns false once the gate is closed. The
-// check and the count are one step: a request is either refused or waited for.
+// Enter counts a new request, or returns false once the gate is closed. The check
+// and the count are atomic: Wait waits for every request that is not refused.
 func (g *Gate) Enter() bool {
-	if g.state.Add(1)&closed == 0 {
+	if g.state.Add(1)&closedBit == 0 {
 		return true
 	}
 	g.Leave()
 	return false
 }
 
-// Leave counts a request out.
+// Leave ends a request admitted by Enter.
 func (g *Gate) Leave() { g.signal(g.state.Add(-1)) }
 
-// InFlight returns the number of requests in hand.
-func (g *Gate) InFlight() int { return int(g.state.Load() &^ closed) }
+// InFlight returns the number of requests in flight.
+func (g *Gate) InFlight() int { return int(g.state.Load() &^ closedBit) }
 
 // Closed reports whether new requests are refused.
-func (g *Gate) Closed() bool { return g.state.Load()&closed != 0 }
+func (g *Gate) Closed() bool { return g.state.Load()&closedBit != 0 }
 
-// Close refuses new requests from now on.
+// Close makes the gate refuse new requests.
 func (g *Gate) Close() {
-	g.closing.Do(func() {
-		g.emptied = make(chan struct{})
-		g.signal(g.state.Add(closed))
+	g.closeOnce.Do(func() {
+		g.drained = make(chan struct{})
+		g.signal(g.state.Add(closedBit))
 	})
 }
 
-// Wait closes the gate and returns when the last request has left, or with the
+// Wait closes the gate and returns when no request is in flight, or with the
 // context's error.
 func (g *Gate) Wait(ctx context.Context) error {
 	g.Close()
 	select {
-	case <-g.emptied:
+	case <-g.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// signal tells the waiters when the gate is closed and nothing is left.
+// signal wakes the waiters once the gate is closed and no request is in flight.
 func (g *Gate) signal(state int64) {
-	if state == closed {
-		g.ending.Do(func() { close(g.emptied) })
+	if state == closedBit {
+		g.drainedOnce.Do(func() { close(g.drained) })
 	}
 }
--- a/proxy/drain/gate_test.go
+++ b/proxy/drain/gate_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// Requests come from many goroutines while the gate closes. Every one that was
-// let in has left when Wait returns, and none is let in afterwards.
-func TestWaitCoversEveryRequestLetIn(t *testing.T) {
+// Wait must return only after every admitted request has left, and no request may
+// be admitted afterwards.
+func TestWaitCoversEveryAdmittedRequest(t *testing.T) {
 	for range 200 {
 		var g Gate
-		var inside atomic.Int64
+		var inFlight atomic.Int64
 		var done sync.WaitGroup
 		for range 8 {
 			done.Go(func() {
 				for g.Enter() {
-					inside.Add(1)
-					inside.Add(-1)
+					inFlight.Add(1)
+					inFlight.Add(-1)
 					g.Leave()
 				}
 			})
@@ -26,15 +26,15 @@
 		if err := g.Wait(context.Background()); err != nil {
 			t.Fatal(err)
 		}
-		if n := inside.Load(); n != 0 {
-			t.Fatalf("%d requests inside", n)
+		if n := inFlight.Load(); n != 0 {
+			t.Fatalf("%d requests in flight", n)
 		}
 		if g.Enter() {
-			t.Fatal("let in after the end")
+			t.Fatal("request admitted after Wait")
 		}
 		done.Wait()
 		if g.InFlight() != 0 {
-			t.Fatalf("%d open", g.InFlight())
+			t.Fatalf("%d in flight", g.InFlight())
 		}
 	}
 }
@@ -45,6 +45,6 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := g.Wait(ctx); err == nil || g.InFlight() != 1 {
-		t.Fatalf("error %v with %d open", err, g.InFlight())
+		t.Fatalf("error %v with %d in flight", err, g.InFlight())
 	}
 }
--- a/proxy/eject/health.go
+++ b/proxy/eject/health.go
@@ -1,6 +1,6 @@
-// Package eject takes targets out of use whose own traffic fails, and brings
-// them back gradually. What a health endpoint says plays no part: it can be
-// fine while requests fail.
+// Package eject implements passive outlier detection: it ejects targets whose
+// requests fail and returns them to use gradually. Health endpoints are not
+// consulted, as they can report healthy while requests fail.
 package eject
 
 import (
@@ -9,96 +9,100 @@
 	"time"
 )
 
-// Bounds of ejection and return.
+// Parameters of ejection and return.
 const (
-	// failuresInARow ejects a target whose last requests all failed.
-	failuresInARow = 5
-	// failShareLimit ejects a target that fails this share of its requests.
-	failShareLimit = 0.5
-	// shareWeight is the weight of one request in the failure share.
-	shareWeight = 0.1
-	// minSamples is how many requests the share needs to be believed.
+	// maxConsecutiveFailures is the number of consecutive failures that ejects a
+	// target.
+	maxConsecutiveFailures = 5
+	// maxFailureRate is the share of failed requests that ejects a target.
+	maxFailureRate = 0.5
+	// failureSmoothing is the weight of one request in the failure rate.
+	failureSmoothing = 0.1
+	// minSamples is the number of requests before the failure rate is used.
 	minSamples = 10
-	// firstEjection doubles with each ejection that follows a failed return.
-	firstEjection = time.Second
-	maxDoublings  = 5
-	// RampDuration is how long a new or returning target takes to full weight.
+	// initialEjection is the duration of the first ejection; it doubles with each
+	// ejection that follows a failed return.
+	initialEjection = time.Second
+	maxDoublings    = 5
+	// RampDuration is the time a new or returning target takes to reach full
+	// weight.
 	RampDuration = 10 * time.Second
-	// startWeight is the weight at the beginning of the ramp. It is not zero,
-	// or nothing would be learnt of the target.
-	startWeight = 0.1
+	// initialWeight is the weight at the start of the ramp. It is above zero, as a
+	// target without requests would have no statistics.
+	initialWeight = 0.1
 )
 
-// Guard tells whether one more target may be taken out of use.
+// Guard limits how many targets are ejected.
 type Guard interface {
-	// MayEject reports whether the others can carry the load.
+	// MayEject reports whether the other targets can take the load of one more
+	// ejected target.
 	MayEject() bool
 }
 
-// Health is what a node knows of one target from its own traffic. Times are
+// Health tracks the failures of one target in the node's own traffic. Times are
 // nanoseconds on any monotonic clock.
 type Health struct {
-	// until is when the ejection ends, rampFrom when the ramp began. They are
-	// read on every choice without a lock.
-	until    atomic.Int64
-	rampFrom atomic.Int64
+	// ejectedUntil is the end of the ejection, rampStart the start of the ramp.
+	// They are read on every selection without a lock.
+	ejectedUntil atomic.Int64
+	rampStart    atomic.Int64
 
-	mu        sync.Mutex
-	inARow    int
-	samples   int
-	failShare float64
-	ejections int
+	mu                  sync.Mutex
+	consecutiveFailures int
+	samples             int
+	failureRate         float64
+	ejections           int
 }
 
-// NewHealth returns the health of a target that begins its ramp now.
+// NewHealth returns the health of a target that starts its ramp now.
 func NewHealth(now int64) *Health {
 	h := &Health{}
-	h.rampFrom.Store(now)
+	h.rampStart.Store(now)
 	return h
 }
 
-// Weight returns the part of a full share of work that the target should get,
-// 0 (ejected) to 1.
+// Weight returns the weight of the target in selection, from 0 (ejected) to 1.
 func (h *Health) Weight(now int64) float64 {
-	if now < h.until.Load() {
+	if now < h.ejectedUntil.Load() {
 		return 0
 	}
-	since := now - h.rampFrom.Load()
-	if since >= int64(RampDuration) {
+	elapsed := now - h.rampStart.Load()
+	if elapsed >= int64(RampDuration) {
 		return 1
 	}
-	if since <= 0 {
-		return startWeight
+	if elapsed <= 0 {
+		return initialWeight
 	}
-	return startWeight + (1-startWeight)*float64(since)/float64(RampDuration)
+	return initialWeight + (1-initialWeight)*float64(elapsed)/float64(RampDuration)
 }
 
-// ActiveTime returns for how long the target has been in use, in ns: since it was new or
-// came back.
-func (h *Health) ActiveTime(now int64) int64 { return now - h.rampFrom.Load() }
+// ActiveTime returns the time in ns since the target was created or returned to
+// use.
+func (h *Health) ActiveTime(now int64) int64 { return now - h.rampStart.Load() }
 
-// Ejected reports whether the target is out of use.
-func (h *Health) Ejected(now int64) bool { return now < h.until.Load() }
+// Ejected reports whether the target is ejected.
+func (h *Health) Ejected(now int64) bool { return now < h.ejectedUntil.Load() }
 
-// RecordSuccess counts a request that the target served.
+// RecordSuccess counts a successful request.
 func (h *Health) RecordSuccess(now int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.inARow = 0
+	h.consecutiveFailures = 0
 	h.sample(0)
-	if h.ejections > 0 && now-h.rampFrom.Load() >= int64(RampDuration) {
+	if h.ejections > 0 && now-h.rampStart.Load() >= int64(RampDuration) {
 		h.ejections = 0
 	}
 }
 
-// RecordFailure counts a request that the target failed and ejects it if the guard
-// agrees. It returns whether the target was ejected by this call.
+// RecordFailure counts a failed request and ejects the target if its failures
+// exceed a limit and the guard permits it. It reports whether this call ejected
+// the target.
 func (h *Health) RecordFailure(now int64, guard Guard) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.inARow++
+	h.consecutiveFailures++
 	h.sample(1)
-	if !h.bad() || h.Ejected(now) || !guard.MayEject() {
+	if !h.failing() || h.Ejected(now) || !guard.MayEject() {
 		return false
 	}
 	h.eject(now)
@@ -107,22 +111,22 @@
 
 func (h *Health) sample(failed float64) {
 	h.samples++
-	h.failShare += shareWeight * (failed - h.failShare)
+	h.failureRate += failureSmoothing * (failed - h.failureRate)
 }
 
-func (h *Health) bad() bool {
-	if h.inARow >= failuresInARow {
+func (h *Health) failing() bool {
+	if h.consecutiveFailures >= maxConsecutiveFailures {
 		return true
 	}
-	return h.samples >= minSamples && h.failShare >= failShareLimit
+	return h.samples >= minSamples && h.failureRate >= maxFailureRate
 }
 
 func (h *Health) eject(now int64) {
-	out := int64(firstEjection) << min(h.ejections, maxDoublings)
+	duration := int64(initialEjection) << min(h.ejections, maxDoublings)
 	h.ejections++
-	h.rampFrom.Store(now + out)
-	h.until.Store(now + out)
-	h.inARow = 0
+	h.rampStart.Store(now + duration)
+	h.ejectedUntil.Store(now + duration)
+	h.consecutiveFailures = 0
 	h.samples = 0
-	h.failShare = 0
+	h.failureRate = 0
 }
--- a/proxy/eject/health_test.go
+++ b/proxy/eject/health_test.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-type always bool
+type fixedGuard bool
 
-func (a always) MayEject() bool { return bool(a) }
+func (g fixedGuard) MayEject() bool { return bool(g) }
 
 const second = int64(time.Second)
 
-// A target fails all its requests fast while its health endpoint says fine. It
-// gets no work for a while, then little, then its share again.
+// A failing target must be ejected once and then ramp up to full weight.
 func TestEjectionAndGradualReturn(t *testing.T) {
 	h := NewHealth(-int64(RampDuration))
 	if h.Weight(0) != 1 {
 		t.Fatalf("weight %f", h.Weight(0))
 	}
 	ejected := 0
-	for range failuresInARow {
-		if h.RecordFailure(0, always(true)) {
+	for range maxConsecutiveFailures {
+		if h.RecordFailure(0, fixedGuard(true)) {
 			ejected++
 		}
 	}
@@ -40,53 +39,52 @@
 	}
 }
 
-// A target that comes and goes is kept out longer each time; once it has served
-// well for a whole ramp that is forgotten.
+// Ejections must last longer each time, until the target has served requests for a
+// whole ramp.
 func TestRepeatedEjectionsLastLonger(t *testing.T) {
 	h := NewHealth(0)
 	now, last := int64(0), int64(0)
 	for i := range maxDoublings + 2 {
 		fail(h, now)
-		out := h.until.Load() - now
-		if i <= maxDoublings && out <= last {
-			t.Fatalf("ejection %d lasts %d after %d", i, out, last)
+		duration := h.ejectedUntil.Load() - now
+		if i <= maxDoublings && duration <= last {
+			t.Fatalf("ejection %d lasts %d after %d", i, duration, last)
 		}
-		last = out
-		now = h.until.Load()
+		last = duration
+		now = h.ejectedUntil.Load()
 	}
 	now += int64(RampDuration)
 	h.RecordSuccess(now)
 	fail(h, now)
-	if out := h.until.Load() - now; out != int64(firstEjection) {
-		t.Fatalf("ejected for %d after a good time", out)
+	if duration := h.ejectedUntil.Load() - now; duration != int64(initialEjection) {
+		t.Fatalf("ejected for %d after a successful ramp", duration)
 	}
 }
 
 func fail(h *Health, now int64) {
-	for !h.RecordFailure(now, always(true)) {
+	for !h.RecordFailure(now, fixedGuard(true)) {
 	}
 }
 
-// A target fails every other request. No long run of failures shows it, the
-// share does.
-func TestFailureShareEjects(t *testing.T) {
+// A high failure rate must eject a target without consecutive failures.
+func TestFailureRateEjects(t *testing.T) {
 	h := NewHealth(0)
 	for range 100 {
 		h.RecordSuccess(0)
-		if h.RecordFailure(0, always(true)) {
-			t.Fatal("half of the requests is not yet over the limit")
+		if h.RecordFailure(0, fixedGuard(true)) {
+			t.Fatal("ejected below the failure rate limit")
 		}
-		if h.RecordFailure(0, always(true)) {
+		if h.RecordFailure(0, fixedGuard(true)) {
 			return
 		}
 	}
 	t.Fatal("never ejected")
 }
 
-func TestGuardHoldsEjectionBack(t *testing.T) {
+func TestGuardPreventsEjection(t *testing.T) {
 	h := NewHealth(0)
 	for range 100 {
-		if h.RecordFailure(0, always(false)) {
+		if h.RecordFailure(0, fixedGuard(false)) {
 			t.Fatal("ejected against the guard")
 		}
 	}
--- a/proxy/retry/backoff.go
+++ b/proxy/retry/backoff.go
@@ -1,4 +1,4 @@
-// Package retry decides how long to wait before a request is sent again.
+// Package retry computes the backoff before a request is retried.
 package retry
 
 import (
@@ -8,16 +8,16 @@
 
 // Backoff bounds.
 const (
-	firstBackoff = 2 * time.Millisecond
-	maxBackoff   = 100 * time.Millisecond
-	maxDoublings = 10
+	initialBackoff = 2 * time.Millisecond
+	maxBackoff     = 100 * time.Millisecond
+	maxDoublings   = 10
 )
 
-// Backoff returns how long to wait before the given retry (1 is the first):
-// a random time up to a bound that doubles, so that requests that failed
-// together are not sent again together.
+// Backoff returns the wait before the given retry, counted from 1. It is
+// exponential with full jitter, so that requests that failed together are not
+// retried together.
 func Backoff(attempt int) time.Duration {
 	doublings := min(max(attempt-1, 0), maxDoublings)
-	bound := min(firstBackoff<<doublings, maxBackoff)
+	bound := min(initialBackoff<<doublings, maxBackoff)
 	return rand.N(bound) + 1
 }
