--- a/proxy/keys/key.go
+++ b/proxy/keys/key.go
@@ -1,5 +1,5 @@
-// Package keys records the idempotency keys of non-idempotent requests, so
-// that a request a caller sends again, through whichever entry VM, is run at
+// Package keys records the idempotency keys of non-idempotent requests in the
+// store, so that a request repeated by its caller through any entry VM runs at
 // most once.
 package keys
 
@@ -9,19 +9,19 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// MaxBytes is the length of the longest key.
+// MaxBytes is the maximum length of a key.
 const MaxBytes = 128
 
-// Key names one piece of work of a caller.
+// Key identifies one request of a client account to a service.
 type Key struct {
 	Account model.AccountName
 	Service model.ServiceName
-	// Text is what the caller sent.
+	// Text is the idempotency key sent by the caller.
 	Text string
 }
 
-// Valid reports whether a caller's key can be recorded: 1 to MaxBytes printable
-// ASCII characters.
+// Valid reports whether the text is a valid key: 1 to MaxBytes printable ASCII
+// characters without spaces.
 func Valid(text string) bool {
 	if text == "" || len(text) > MaxBytes {
 		return false
@@ -34,11 +34,11 @@
 	return true
 }
 
-// ErrDuplicate tells that the key was recorded before.
+// ErrDuplicate reports that the key was already recorded.
 var ErrDuplicate = errors.New("keys: recorded before")
 
-// ErrUnavailable tells that the key was not recorded and will not be.
+// ErrUnavailable reports that the key was not recorded and will not be.
 var ErrUnavailable = errors.New("keys: cannot record")
 
-// ErrUnknown tells that the key may or may not have been recorded.
+// ErrUnknown reports that the key may or may not have been recorded.
 var ErrUnknown = errors.New("keys: outcome unknown")
--- a/proxy/keys/lease.go
+++ b/proxy/keys/lease.go
@@ -8,51 +8,52 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// spare is how much longer than a key must be kept its lease lives. Keys of
-// that much time share one lease, so that cleaning up costs the store one call
-// now and then and not one for each key.
-const spare = 2
+// leaseFactor is the ratio of the lifetime of a lease to the retention of keys.
+// The longer lifetime lets many keys share one lease, which keeps store calls for
+// leases rare.
+const leaseFactor = 2
 
-// rotatingLease holds the lease that new keys are bound to. It is never kept
-// alive: when it lapses the store removes its keys.
+// rotatingLease holds the lease that new keys are attached to. It is never
+// renewed: when it expires, the store removes its keys.
 type rotatingLease struct {
-	kv   store.KV
-	keep time.Duration
+	kv        store.KV
+	retention time.Duration
 
-	mu    sync.Mutex
-	id    store.LeaseID
-	until time.Time
+	mu          sync.Mutex
+	id          store.LeaseID
+	usableUntil time.Time
 }
 
-// get returns a lease that lives for at least keep.
+// get returns a lease that lasts for at least the retention time.
 func (l *rotatingLease) get(ctx context.Context) (store.LeaseID, error) {
 	id, ok := l.current()
 	if ok {
 		return id, nil
 	}
-	asked := time.Now()
-	id, err := l.kv.Grant(ctx, l.keep*spare)
+	requestedAt := time.Now()
+	id, err := l.kv.Grant(ctx, l.retention*leaseFactor)
 	if err != nil {
 		return 0, err
 	}
-	l.set(id, asked.Add(l.keep*(spare-1)))
+	l.set(id, requestedAt.Add(l.retention*(leaseFactor-1)))
 	return id, nil
 }
 
 func (l *rotatingLease) current() (store.LeaseID, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.id, l.id != 0 && time.Now().Before(l.until)
+	return l.id, l.id != 0 && time.Now().Before(l.usableUntil)
 }
 
-func (l *rotatingLease) set(id store.LeaseID, until time.Time) {
+func (l *rotatingLease) set(id store.LeaseID, usableUntil time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.id = id
-	l.until = until
+	l.usableUntil = usableUntil
 }
 
-// drop makes the next get ask for a new lease: the store has lost this one.
+// drop discards a lease that the store no longer has, so that the next get requests
+// a new one.
 func (l *rotatingLease) drop(id store.LeaseID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/proxy/keys/options.go
+++ b/proxy/keys/options.go
@@ -16,18 +16,18 @@
 	DefaultCacheSize       = 1 << 14
 )
 
-// Options configure a Recorder. Zero values take the defaults.
+// Options configures a Recorder. Zero values take the defaults.
 type Options struct {
 	Store store.KV
 	Node  grant.NodeID
-	// Retention is how long a key is recorded at least.
+	// Retention is the minimum time for which a record is kept.
 	Retention time.Duration
-	// WritesPerSecond bounds the node's writes; above it keys are treated as
-	// during an outage. The platform serves several hundred for all nodes.
+	// WritesPerSecond limits the node's writes to the store. Keys above the limit
+	// are handled as in a store outage.
 	WritesPerSecond float64
-	// Timeout bounds one call of the store.
+	// Timeout bounds one call to the store.
 	Timeout time.Duration
-	// CacheSize is how many keys the node itself remembers.
+	// CacheSize is the number of keys cached at the node.
 	CacheSize int
 }
 
--- a/proxy/keys/recorder.go
+++ b/proxy/keys/recorder.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// prefix is where the records are in the store.
+	// prefix is the path of the records in the store.
 	prefix = "key/"
-	// maxTries bounds the writes to find out what became of one.
-	maxTries = 3
-	// hashBytes is how much of the hash of a key's text names its record.
+	// maxAttempts bounds the writes of one record.
+	maxAttempts = 3
+	// hashBytes is the length of the key's hash in the path of its record.
 	hashBytes = 16
 )
 
-// Recorder records keys in the store: one write creates the record of a key
-// if there is none, which only one of all nodes can do.
+// Recorder records keys in the store. A conditional write creates the record of a
+// key only if none exists, so that only one node succeeds.
 type Recorder struct {
 	options Options
 	lease   *rotatingLease
 	writes  *rate.Limiter
-	memory  *memory
-	count   atomic.Uint64
+	cache   *cache
+	claims  atomic.Uint64
 }
 
 // New returns a recorder.
@@ -39,52 +39,51 @@
 	burst := max(1, int(o.WritesPerSecond))
 	return &Recorder{
 		options: o,
-		lease:   &rotatingLease{kv: o.Store, keep: o.Retention},
+		lease:   &rotatingLease{kv: o.Store, retention: o.Retention},
 		writes:  rate.NewLimiter(rate.Limit(o.WritesPerSecond), burst),
-		memory:  newMemory(o.CacheSize),
+		cache:   newCache(o.CacheSize),
 	}
 }
 
-// Record returns the right to run the work of a key. Errors: ErrDuplicate,
-// ErrUnavailable, ErrUnknown (the claim then has its ID, for Release). Requests
-// with the same key at the same time share one call of the store.
+// Record claims the right to run the request of a key. Errors: ErrDuplicate,
+// ErrUnavailable, ErrUnknown (the claim then has its ID, for Release). Concurrent
+// requests with the same key share one store call.
 //
-// Its calls are prompt: while the store is out, a request with a key is refused
-// or served at once, as the account chose, and does not wait for the store's
-// timeout first.
+// The call is made with store.Prompt, so that it does not wait for a timeout
+// during a store outage.
 func (r *Recorder) Record(ctx context.Context, key Key) (Claim, error) {
 	ctx = store.Prompt(ctx)
-	memo, first := r.memory.begin(key)
+	entry, first := r.cache.begin(key)
 	if !first {
-		return Claim{Key: key}, waitFor(ctx, memo)
+		return Claim{Key: key}, wait(ctx, entry)
 	}
 	claim, err := r.record(ctx, key)
-	r.memory.finish(key, memo, err)
+	r.cache.finish(key, entry, err)
 	return claim, err
 }
 
-// waitFor returns what the call under way for the same key means for another
-// request: if the first gets the right to run, the other must not run.
-func waitFor(ctx context.Context, memo *memo) error {
+// wait waits for a concurrent call for the same key and returns the error for the
+// second request: ErrDuplicate if the first one got the claim.
+func wait(ctx context.Context, entry *cacheEntry) error {
 	select {
-	case <-memo.done:
+	case <-entry.done:
 	case <-ctx.Done():
 		return ErrUnavailable
 	}
-	if memo.err == nil {
+	if entry.err == nil {
 		return ErrDuplicate
 	}
-	return memo.err
+	return entry.err
 }
 
-// ClaimLocally returns the right to run the work of a key without a record: of
-// the requests through this node only one gets it. Others do not know of it.
-func (r *Recorder) ClaimLocally(key Key) bool { return r.memory.remember(key) }
+// ClaimLocally claims the right to run the request of a key without a record. Only
+// one request through this node gets it; other nodes are not aware of the claim.
+func (r *Recorder) ClaimLocally(key Key) bool { return r.cache.add(key) }
 
-// Release frees the key of a request that certainly was not run. If the store
-// does not answer the record stays, and a repeat is refused as a duplicate.
+// Release deletes the record of a request that definitely did not run. If the
+// store fails, the record stays and a repeat is refused as a duplicate.
 func (r *Recorder) Release(ctx context.Context, claim Claim) {
-	r.memory.forget(claim.Key)
+	r.cache.remove(claim.Key)
 	revision := claim.Revision
 	if revision == 0 {
 		revision = r.findOwn(ctx, claim)
@@ -103,14 +102,14 @@
 		return claim, ErrUnavailable
 	}
 	sent := false
-	for range maxTries {
+	for range maxAttempts {
 		revision, err := r.write(ctx, claim)
 		switch {
 		case err == nil:
 			claim.Revision = revision
 			return claim, nil
 		case store.IsConflict(err):
-			// The record may be this claim's own, from a write whose answer
+			// The record may be this claim's own, from a write whose response
 			// was lost.
 			return r.resolve(ctx, claim, sent)
 		case errors.Is(err, store.ErrUnknown):
@@ -123,7 +122,7 @@
 	return claim, failure(sent)
 }
 
-// failure returns what is known after a call that did not happen.
+// failure returns ErrUnknown if an earlier attempt may have written the record.
 func failure(sent bool) error {
 	if sent {
 		return ErrUnknown
@@ -131,13 +130,13 @@
 	return ErrUnavailable
 }
 
-// write makes one attempt.
+// write attempts once to create the record.
 func (r *Recorder) write(ctx context.Context, claim Claim) (store.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.options.Timeout)
 	defer cancel()
 	lease, err := r.lease.get(ctx)
 	if err != nil {
-		// Only a lease was asked for: no record can come of it.
+		// Only the lease request failed, so no record was written.
 		return 0, store.ErrUnavailable
 	}
 	revision, err := r.options.Store.Swap(ctx, path(claim.Key), []byte(claim.ID), 0, lease)
@@ -147,7 +146,7 @@
 	return revision, err
 }
 
-// resolve tells whose record is there.
+// resolve determines whether the existing record belongs to the claim.
 func (r *Recorder) resolve(ctx context.Context, claim Claim, sent bool) (Claim, error) {
 	if !sent {
 		return claim, ErrDuplicate
@@ -165,7 +164,7 @@
 	return claim, nil
 }
 
-// findOwn returns the revision of the claim's record, or 0.
+// findOwn returns the revision of the claim's record, or 0 if it has none.
 func (r *Recorder) findOwn(ctx context.Context, claim Claim) store.Revision {
 	found, err := r.resolve(ctx, claim, true)
 	if err != nil {
@@ -174,7 +173,7 @@
 	return found.Revision
 }
 
-// Owner returns the VM whose record a key has. It takes one read of the store.
+// Owner returns the VM that recorded the key. It reads the store once.
 func (r *Recorder) Owner(ctx context.Context, key Key) (vm string, known bool) {
 	ctx, cancel := context.WithTimeout(store.Prompt(ctx), r.options.Timeout)
 	defer cancel()
@@ -185,17 +184,18 @@
 	return vmOf(string(entry.Value))
 }
 
-// vmOf returns the VM within the identifier of a claim.
+// vmOf returns the VM encoded in the ID of a claim.
 func vmOf(id string) (vm string, known bool) {
 	vm, _, known = strings.Cut(id, "/")
 	return vm, known
 }
 
 func (r *Recorder) newID() string {
-	return fmt.Sprintf("%s/%x/%d", r.options.Node.VM, r.options.Node.Incarnation, r.count.Add(1))
+	return fmt.Sprintf("%s/%x/%d", r.options.Node.VM, r.options.Node.Incarnation, r.claims.Add(1))
 }
 
-// path names the record; the text of a key may hold any printable character.
+// path returns the store path of a record. The text is hashed because it may hold
+// any printable character.
 func path(key Key) string {
 	sum := sha256.Sum256([]byte(key.Text))
 	return prefix + string(key.Account) + "/" + string(key.Service) + "/" + hex.EncodeToString(sum[:hashBytes])
--- a/proxy/keys/recorder_test.go
+++ b/proxy/keys/recorder_test.go
@@ -23,33 +23,31 @@
 
 func order(text string) Key { return Key{Account: "daehan", Service: "dealer-desk", Text: text} }
 
-// A dealer's client sends the same order through three entry VMs at once, many
-// times. Only one request may get the right to run.
-func TestOneRequestGetsTheRightToRun(t *testing.T) {
+// Of concurrent requests with the same key through several entry VMs, only one may
+// get the claim.
+func TestOneRequestGetsTheClaim(t *testing.T) {
 	kv := memkv.New(memkv.Options{})
 	nodes := []*Recorder{newRecorder(kv, "a"), newRecorder(kv, "b"), newRecorder(kv, "c")}
-	var rights atomic.Int32
+	var claims atomic.Int32
 	var done sync.WaitGroup
 	for i := range 60 {
 		done.Go(func() {
 			_, err := nodes[i%len(nodes)].Record(context.Background(), order("o-1"))
 			if err == nil {
-				rights.Add(1)
+				claims.Add(1)
 			} else if !errors.Is(err, ErrDuplicate) {
 				t.Error(err)
 			}
 		})
 	}
 	done.Wait()
-	if n := rights.Load(); n != 1 {
-		t.Fatalf("%d requests may run", n)
+	if n := claims.Load(); n != 1 {
+		t.Fatalf("%d requests got the claim", n)
 	}
 }
 
-// The store loses answers, drops writes, refuses calls and applies writes late
-// while callers repeat every order through random nodes. Whatever happens, no
-// order gets the right to run twice.
-func TestNoSecondRightUnderStoreFaults(t *testing.T) {
+// Store faults must not let a repeated request get the claim twice.
+func TestNoSecondClaimUnderStoreFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) { checkFaults(t, seed) })
 	}
@@ -60,34 +58,34 @@
 	faulty := faultkv.New(memkv.New(memkv.Options{}), faultkv.Random(seed, rates))
 	nodes := []*Recorder{newRecorder(faulty, "a"), newRecorder(faulty, "b"), newRecorder(faulty, "c")}
 	random := rand.New(rand.NewPCG(seed, 1))
-	rights := map[string]int{}
+	claims := map[string]int{}
 	for range 400 {
 		text := fmt.Sprintf("o-%d", random.IntN(40))
 		node := nodes[random.IntN(len(nodes))]
 		claim, err := node.Record(context.Background(), order(text))
 		if err == nil {
-			rights[text]++
+			claims[text]++
 		}
 		if errors.Is(err, ErrUnknown) {
-			// The order is refused as not run.
+			// The caller is told that the order did not run.
 			node.Release(context.Background(), claim)
 		}
 		time.Sleep(time.Duration(random.IntN(100)) * time.Millisecond)
 	}
 	faulty.WaitLate()
-	for text, n := range rights {
+	for text, n := range claims {
 		if n > 1 {
-			t.Errorf("seed %d: %s got the right to run %d times", seed, text, n)
+			t.Errorf("seed %d: %s was claimed %d times", seed, text, n)
 		}
 	}
-	if len(rights) < 20 {
-		t.Errorf("seed %d: only %d orders got the right to run", seed, len(rights))
+	if len(claims) < 20 {
+		t.Errorf("seed %d: only %d orders were claimed", seed, len(claims))
 	}
 }
 
-// The answer to the write is lost although the record is there. The order must
-// not be refused as its own duplicate.
-func TestLostAnswerIsResolved(t *testing.T) {
+// An order whose write succeeds with a lost response must not be refused as its
+// own duplicate.
+func TestLostResponseIsResolved(t *testing.T) {
 	script := map[faultkv.Kind][]faultkv.Decision{faultkv.KindSwap: {{Fault: faultkv.LoseAnswer}}}
 	kv := faultkv.New(memkv.New(memkv.Options{}), faultkv.Script(script))
 	claim, err := newRecorder(kv, "a").Record(context.Background(), order("o-1"))
@@ -96,8 +94,8 @@
 	}
 }
 
-// The store is out. Nothing is recorded; after a request was sent without a
-// record, a repeat through the same node is still found.
+// During a store outage nothing is recorded, but a repeat through the same node
+// must still be detected.
 func TestOutage(t *testing.T) {
 	kv := faultkv.New(memkv.New(memkv.Options{}), nil)
 	kv.SetOutage(true)
@@ -106,15 +104,14 @@
 		t.Fatalf("error %v", err)
 	}
 	if !r.ClaimLocally(order("o-1")) || r.ClaimLocally(order("o-1")) {
-		t.Fatal("not exactly one request may run without a record")
+		t.Fatal("want exactly one local claim")
 	}
 	if _, err := r.Record(context.Background(), order("o-1")); !errors.Is(err, ErrDuplicate) {
 		t.Fatalf("error %v", err)
 	}
 }
 
-// An order was shed by its target. The caller is told that it did not run and
-// sends it again: that must not be refused as a duplicate, on any node.
+// After Release, a repeat must not be refused as a duplicate on any node.
 func TestReleasedKeyMayBeUsedAgain(t *testing.T) {
 	kv := memkv.New(memkv.Options{})
 	a, b := newRecorder(kv, "a"), newRecorder(kv, "b")
@@ -128,8 +125,7 @@
 	}
 }
 
-// The store serves several hundred writes a second for everybody. A node over
-// its part must not take more, and many keys share one lease.
+// A node must not exceed its write rate, and many keys must share one lease.
 func TestStoreCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := faultkv.New(memkv.New(memkv.Options{}), nil)
@@ -142,7 +138,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		// Ten seconds at ten a second, and one second's burst.
+		// Ten seconds at ten per second, and a burst of one second.
 		if recorded > 110 || recorded < 100 {
 			t.Errorf("%d keys recorded", recorded)
 		}
@@ -153,21 +149,21 @@
 	})
 }
 
-// Records must last for Keep, and must not fill the store for ever.
-func TestRecordsLastForKeep(t *testing.T) {
+// Records must last for the retention time and must be removed afterwards.
+func TestRecordsLastForRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const keep = time.Hour
+		const retention = time.Hour
 		kv := memkv.New(memkv.Options{})
-		a := New(Options{Store: kv, Node: grant.NodeID{VM: "a"}, Retention: keep})
-		b := New(Options{Store: kv, Node: grant.NodeID{VM: "b"}, Retention: keep})
+		a := New(Options{Store: kv, Node: grant.NodeID{VM: "a"}, Retention: retention})
+		b := New(Options{Store: kv, Node: grant.NodeID{VM: "b"}, Retention: retention})
 		mustRecord(t, a, "first")
-		time.Sleep(keep - time.Second)
+		time.Sleep(retention - time.Second)
 		mustRecord(t, a, "second")
-		time.Sleep(keep - time.Second)
+		time.Sleep(retention - time.Second)
 		if _, err := b.Record(context.Background(), order("second")); !errors.Is(err, ErrDuplicate) {
-			t.Errorf("a record was gone before its time: %v", err)
+			t.Errorf("a record was removed too early: %v", err)
 		}
-		time.Sleep(keep)
+		time.Sleep(retention)
 		listing, err := kv.List(context.Background(), prefix)
 		if err != nil || len(listing.Entries) != 0 {
 			t.Errorf("%d records left, error %v", len(listing.Entries), err)
