--- a/proxy/buffer/budget_test.go
+++ b/proxy/buffer/budget_test.go
@@ -15,30 +15,29 @@
 	return n
 }
 
-// One account fills what it can. Another one, quiet until then, still gets its
-// part at once, and more as the first gives back.
-func TestQuietAccountGetsItsPart(t *testing.T) {
+// An idle account must get units at once while another holds its maximum, and more
+// as the other releases units.
+func TestIdleAccountGetsItsShare(t *testing.T) {
 	b := NewBudget(1000 * unit)
-	busy, quiet := b.NewShare(), b.NewShare()
+	busy, idle := b.NewShare(), b.NewShare()
 	if n := fill(busy); n < 790 || n > 810 {
-		t.Fatalf("a single account holds %d of 1000", n)
+		t.Fatalf("a single account holds %d of 1000 units", n)
 	}
-	if n := fill(quiet); n < 150 {
-		t.Fatalf("the quiet account got %d of 1000", n)
+	if n := fill(idle); n < 150 {
+		t.Fatalf("the idle account got %d of 1000 units", n)
 	}
 	for range 600 {
 		busy.Give(unit)
 	}
-	fill(quiet)
+	fill(idle)
 	fill(busy)
-	if quiet.Used() < 400*unit || b.Used() > 1000*unit {
-		t.Fatalf("quiet %d, all %d", quiet.Used()/unit, b.Used()/unit)
+	if idle.Used() < 400*unit || b.Used() > 1000*unit {
+		t.Fatalf("idle account holds %d units, all accounts %d", idle.Used()/unit, b.Used()/unit)
 	}
 }
 
-// Many goroutines take and give: the bound holds at the end of every step and
-// nothing is lost.
-func TestBoundHoldsConcurrently(t *testing.T) {
+// Concurrent Take and Give calls must not leak units.
+func TestConcurrentUseLeaksNothing(t *testing.T) {
 	b := NewBudget(100 * unit)
 	var done sync.WaitGroup
 	for range 4 {
@@ -55,6 +54,6 @@
 	}
 	done.Wait()
 	if b.Used() != 0 {
-		t.Fatalf("%d units left", b.Used())
+		t.Fatalf("%d units still in use", b.Used())
 	}
 }
--- a/proxy/kept/fingerprint.go
+++ b/proxy/kept/fingerprint.go
@@ -13,56 +13,56 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// Hash is a hash that two different inputs do not share.
+// Hash is a collision-resistant hash.
 type Hash [sha256.Size]byte
 
-// Fingerprint identifies a request beside its key.
+// Fingerprint detects requests that reuse a key for other content or from another
+// caller.
 type Fingerprint struct {
-	// Work covers method, path, query and body.
+	// Work covers the method, path, query and body.
 	Work Hash
-	// Sender covers the caller's IP address and all fields that the target gets:
-	// what tells callers apart (Authorization, Cookie, Yucca-Token) and what an
-	// answer depends on (Accept) is in fields that this system does not know.
+	// Sender covers the caller's IP address and all header fields forwarded to the
+	// target, as any of them may identify the caller or affect the response.
 	Sender Hash
 }
 
-// FingerprintOf returns the print of a request from a caller's address, with or
-// without a port. It reads the whole body and keeps none of it.
+// FingerprintOf returns the fingerprint of a request from a caller's address, with
+// or without a port. It retains no part of the body.
 func FingerprintOf(r *forward.Request, address string) Fingerprint {
-	return Fingerprint{Work: workOf(r), Sender: senderOf(r.Header, address)}
+	return Fingerprint{Work: hashWork(r), Sender: hashSender(r.Header, address)}
 }
 
-func workOf(r *forward.Request) Hash {
+func hashWork(r *forward.Request) Hash {
 	h := sha256.New()
 	addText(h, r.Method)
 	addText(h, r.URI)
-	for _, piece := range r.Body {
-		_, _ = h.Write(piece)
+	for _, chunk := range r.Body {
+		_, _ = h.Write(chunk)
 	}
 	return Hash(h.Sum(nil))
 }
 
-func senderOf(header http.Header, address string) Hash {
+func hashSender(header http.Header, address string) Hash {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		host = address
 	}
 	h := sha256.New()
 	addText(h, host)
-	seen := make(http.Header, len(header))
-	forward.CopyHeader(seen, header)
-	for _, name := range slices.Sorted(maps.Keys(seen)) {
+	forwarded := make(http.Header, len(header))
+	forward.CopyHeader(forwarded, header)
+	for _, name := range slices.Sorted(maps.Keys(forwarded)) {
 		addText(h, name)
-		addLength(h, len(seen[name]))
-		for _, value := range seen[name] {
+		addLength(h, len(forwarded[name]))
+		for _, value := range forwarded[name] {
 			addText(h, value)
 		}
 	}
 	return Hash(h.Sum(nil))
 }
 
-// addText adds a text behind its length, so that no two lists of texts give the
-// same bytes.
+// addText hashes a text prefixed with its length, so that different lists of texts
+// never hash the same bytes.
 func addText(h hash.Hash, text string) {
 	addLength(h, len(text))
 	_, _ = io.WriteString(h, text)
--- a/proxy/kept/response.go
+++ b/proxy/kept/response.go
@@ -7,36 +7,36 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// Response is a target's whole answer and who gave it. It is only to be read.
+// Response is the complete response of a target and its origin. It is read-only.
 type Response struct {
 	forward.Answer
-	// Place and Target are the fields that name them to the caller.
+	// Place and Target are the values of the response headers that name them.
 	Place, Target []string
 }
 
-// Sizes of what an entry takes beside the texts in it, bytes.
+// Estimated memory overhead in bytes, without the texts.
 const (
-	entryBytes = 1024
-	fieldBytes = 64
+	entryOverhead       = 1024
+	headerFieldOverhead = 64
 )
 
-// copied returns an answer that shares no memory with what it was made from and
-// holds none of the request's reserved bytes.
-func copied(a *Response) *Response {
+// clone copies the response with its header and body, without the request's
+// reserved bytes.
+func clone(r *Response) *Response {
 	return &Response{
 		Answer: forward.Answer{
-			Status: a.Status,
-			Header: a.Header.Clone(),
-			Body:   bytes.Clone(a.Body),
-			NoBody: a.NoBody,
+			Status: r.Status,
+			Header: r.Header.Clone(),
+			Body:   bytes.Clone(r.Body),
+			NoBody: r.NoBody,
 		},
-		Place:  a.Place,
-		Target: a.Target,
+		Place:  r.Place,
+		Target: r.Target,
 	}
 }
 
-func sizeOf(a *Response) int64 {
-	return int64(len(a.Body)) + headerBytes(a.Header)
+func sizeOf(r *Response) int64 {
+	return int64(len(r.Body)) + headerBytes(r.Header)
 }
 
 func headerBytes(h http.Header) int64 {
@@ -44,7 +44,7 @@
 	for name, values := range h {
 		size += int64(len(name))
 		for _, value := range values {
-			size += int64(len(value)) + fieldBytes
+			size += int64(len(value)) + headerFieldOverhead
 		}
 	}
 	return size
--- a/proxy/kept/store.go
+++ b/proxy/kept/store.go
@@ -1,6 +1,6 @@
-// Package kept holds, at one node and for a short time, the answers to requests
-// with an idempotency key, so that a caller whose answer was lost gets it when
-// it sends the request again.
+// Package kept caches the responses to requests with an idempotency key at one
+// node for a short time, so that a caller that lost a response receives it when it
+// repeats the request.
 package kept
 
 import (
@@ -18,44 +18,44 @@
 	DefaultMaxResponseBytes = 16 << 10
 )
 
-// Options configure a Store. Zero values take the defaults, but for Bytes.
+// Options configures a Store. Zero values take the defaults, except for MaxBytes.
 type Options struct {
-	// MaxBytes bounds what is kept of requests that have ended, in sum. The oldest
-	// go first.
+	// MaxBytes bounds the total size of the entries of ended requests. The oldest
+	// are evicted first.
 	MaxBytes int64
-	// MaxResponseBytes bounds one answer, head and body; a larger one is not kept.
+	// MaxResponseBytes bounds the header and body of one response; larger ones are
+	// not stored.
 	MaxResponseBytes int64
-	// Retention is how long an answer is kept at most. It must be below the time for
-	// which keys are recorded: an answer must not be given for a key that may be
-	// used anew.
+	// Retention is the maximum age of a response. It must be below the retention of
+	// recorded keys, so that no response is returned for a key that is valid again.
 	Retention time.Duration
 }
 
-// Store holds requests by their keys, those in hand and those that ended. It is
-// safe for use by several goroutines.
+// Store holds the requests in flight and those that ended recently, by key. It is
+// safe for concurrent use.
 type Store struct {
 	options Options
 
 	mu      sync.Mutex
 	entries map[keys.Key]*Entry
-	// ended holds the requests that ended in the order of their ends; bytes is
-	// their size in sum.
+	// ended holds the ended requests, oldest first; bytes is their total size.
 	ended []*Entry
 	bytes int64
 }
 
 // Entry is one request with a key.
 type Entry struct {
-	// Fingerprint is the request's that made the entry.
+	// Fingerprint is that of the request that created the entry.
 	Fingerprint Fingerprint
 
 	key keys.Key
-	// done is closed when the request has ended; what follows is then fixed.
-	done    chan struct{}
-	dropped bool
-	answer  *Response
-	size    int64
-	until   time.Time
+	// done is closed when the request has ended; the fields below are then
+	// immutable.
+	done     chan struct{}
+	dropped  bool
+	response *Response
+	size     int64
+	expires  time.Time
 }
 
 // New returns an empty store.
@@ -65,17 +65,17 @@
 	return &Store{options: o, entries: make(map[keys.Key]*Entry)}
 }
 
-// Begin returns the entry of a key and whether this request made it. The one
-// that did must call End or Drop; any other must look at the entry's Print
-// before it uses its answer.
-func (s *Store) Begin(key keys.Key, print Fingerprint) (entry *Entry, first bool) {
+// Begin returns the entry of a key and whether this request created it. The request
+// that did must call End or Drop; any other must compare the entry's Fingerprint
+// with its own before it uses the response.
+func (s *Store) Begin(key keys.Key, fingerprint Fingerprint) (entry *Entry, first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trim(time.Now())
-	if old := s.entries[key]; old != nil {
-		return old, false
+	s.evict(time.Now())
+	if existing := s.entries[key]; existing != nil {
+		return existing, false
 	}
-	entry = &Entry{Fingerprint: print, key: key, done: make(chan struct{})}
+	entry = &Entry{Fingerprint: fingerprint, key: key, done: make(chan struct{})}
 	s.entries[key] = entry
 	return entry, true
 }
@@ -84,32 +84,32 @@
 func (s *Store) Find(key keys.Key) *Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trim(time.Now())
+	s.evict(time.Now())
 	return s.entries[key]
 }
 
-// End tells that the request ran or may have run. A nil answer, or one that is
-// too large, is not kept; the request's print still is.
-func (s *Store) End(entry *Entry, answer *Response) {
+// End records that the request ran or may have run. A response that is nil or too
+// large is not stored, but the entry with its fingerprint is.
+func (s *Store) End(entry *Entry, response *Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	entry.size = entryBytes + int64(len(entry.key.Text))
-	if answer != nil {
-		if size := sizeOf(answer); size <= s.options.MaxResponseBytes {
-			entry.answer = copied(answer)
+	entry.size = entryOverhead + int64(len(entry.key.Text))
+	if response != nil {
+		if size := sizeOf(response); size <= s.options.MaxResponseBytes {
+			entry.response = clone(response)
 			entry.size += size
 		}
 	}
 	now := time.Now()
-	entry.until = now.Add(s.options.Retention)
+	entry.expires = now.Add(s.options.Retention)
 	s.ended = append(s.ended, entry)
 	s.bytes += entry.size
 	close(entry.done)
-	s.trim(now)
+	s.evict(now)
 }
 
-// Drop tells that the request certainly did not run, or that it is not the one
-// that its key stands for: nothing is known of the key any more.
+// Drop removes the entry of a request that definitely did not run or that was not
+// the one recorded under its key.
 func (s *Store) Drop(entry *Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,18 +118,19 @@
 	delete(s.entries, entry.key)
 }
 
-// Bytes returns the size of what is kept.
+// Bytes returns the total size of the entries of ended requests.
 func (s *Store) Bytes() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.bytes
 }
 
-// trim forgets what is too old or too much. It is called with the lock held.
-func (s *Store) trim(now time.Time) {
+// evict removes expired entries and the oldest ones above MaxBytes. It must be
+// called with mu held.
+func (s *Store) evict(now time.Time) {
 	for len(s.ended) > 0 {
 		oldest := s.ended[0]
-		if s.bytes <= s.options.MaxBytes && now.Before(oldest.until) {
+		if s.bytes <= s.options.MaxBytes && now.Before(oldest.expires) {
 			return
 		}
 		s.ended[0] = nil
@@ -139,17 +140,17 @@
 	}
 }
 
-// Wait returns once the entry's request has ended: its answer, nil if there is
-// none, or dropped if nothing is known of the key any more. Error: the context's.
-func (e *Entry) Wait(ctx context.Context) (answer *Response, dropped bool, err error) {
+// Wait waits until the request of the entry has ended. It returns its response, nil
+// if none was stored, and whether the entry was dropped, or the context's error.
+func (e *Entry) Wait(ctx context.Context) (response *Response, dropped bool, err error) {
 	select {
 	case <-e.done:
-		return e.answer, e.dropped, nil
+		return e.response, e.dropped, nil
 	default:
 	}
 	select {
 	case <-e.done:
-		return e.answer, e.dropped, nil
+		return e.response, e.dropped, nil
 	case <-ctx.Done():
 		return nil, false, ctx.Err()
 	}
--- a/proxy/keys/key.go
+++ b/proxy/keys/key.go
@@ -35,10 +35,10 @@
 }
 
 // ErrDuplicate reports that the key was already recorded.
-var ErrDuplicate = errors.New("keys: recorded before")
+var ErrDuplicate = errors.New("keys: key already recorded")
 
 // ErrUnavailable reports that the key was not recorded and will not be.
-var ErrUnavailable = errors.New("keys: cannot record")
+var ErrUnavailable = errors.New("keys: key not recorded")
 
 // ErrUnknown reports that the key may or may not have been recorded.
-var ErrUnknown = errors.New("keys: outcome unknown")
+var ErrUnknown = errors.New("keys: outcome of recording unknown")
--- a/proxy/pool/pool.go
+++ b/proxy/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool keeps the open connections of one node to one target within a
-// bound, and has some of them open before they are needed.
+// Package pool manages the connections of one node to one target. It limits their
+// number and opens some of them in advance.
 package pool
 
 import (
@@ -13,23 +13,22 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// DefaultMaxIdle is how long a connection may stay unused, unless SetMaxIdle says less.
-// Targets close idle connections after a time of their own; a request that crosses
-// such a close is lost with an unknown outcome. So the pool must be the first to
-// give up.
+// DefaultMaxIdle is the idle time after which a connection is closed unless
+// SetMaxIdle changes it. It should be below the idle timeout of the targets, as the
+// outcome of a request sent while the target closes its connection is unknown.
 const DefaultMaxIdle = 20 * time.Second
 
-// ErrFull tells that the node holds as many connections as it may.
+// ErrFull reports that the connection limit is reached.
 var ErrFull = errors.New("pool: connection limit reached")
 
-// ErrClosed tells that the target is no longer in use.
+// ErrClosed reports that the pool is closed.
 var ErrClosed = errors.New("pool: closed")
 
-// Dial opens a connection.
+// Dial opens a connection to an address.
 type Dial func(ctx context.Context, address string) (net.Conn, error)
 
-// Pool holds the connections to one target. It is safe for use by several
-// goroutines; no lock is held while a connection is opened.
+// Pool holds the connections to one target. It is safe for concurrent use; no lock
+// is held while dialing.
 type Pool struct {
 	address string
 	dial    Dial
@@ -42,34 +41,34 @@
 }
 
 type idleConn struct {
-	conn  *forward.Conn
-	since time.Time
+	conn      *forward.Conn
+	idleSince time.Time
 }
 
-// New returns an empty pool with a bound on open connections.
+// New returns an empty pool with a limit on open connections.
 func New(address string, dial Dial, limit int) *Pool {
 	return &Pool{address: address, dial: dial, limit: limit, maxIdle: DefaultMaxIdle}
 }
 
-// SetMaxIdle changes how long a connection may stay unused.
+// SetMaxIdle changes the idle time after which a connection is closed.
 func (p *Pool) SetMaxIdle(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxIdle = d
 }
 
-// SetLimit changes the bound; connections over the new one are closed as they
-// come back.
+// SetLimit changes the connection limit. Connections above it are closed when they
+// are returned.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit = limit
 }
 
-// Get returns an idle connection that is still quiet, or opens one. Errors:
-// ErrFull, ErrClosed, or what dialling returned.
+// Get returns a healthy idle connection or opens a new one. Errors: ErrFull,
+// ErrClosed, or the dial error.
 func (p *Pool) Get(ctx context.Context) (*forward.Conn, error) {
-	p.dropOld()
+	p.closeExpired()
 	for {
 		conn, err := p.reserve()
 		if err != nil {
@@ -85,8 +84,8 @@
 	}
 }
 
-// Put takes a connection back after an exchange. One whose exchange did not
-// end cleanly is closed: a late answer on it would go to the next caller.
+// Put returns a connection after an exchange. It is closed if the exchange did not
+// end cleanly, as a late response on it would go to the next caller.
 func (p *Pool) Put(c *forward.Conn) {
 	if !c.Reusable() {
 		p.drop(c)
@@ -98,13 +97,13 @@
 		p.drop(c)
 		return
 	}
-	p.idle = append(p.idle, idleConn{conn: c, since: time.Now()})
-	old := p.takeOld()
+	p.idle = append(p.idle, idleConn{conn: c, idleSince: time.Now()})
+	expired := p.takeExpired()
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(expired)
 }
 
-// Warm opens connections until n are open or one fails.
+// Warm opens connections until n are open, the limit is reached or a dial fails.
 func (p *Pool) Warm(ctx context.Context, n int) {
 	for p.reserveWarm(n) {
 		conn, err := p.connect(ctx)
@@ -115,7 +114,7 @@
 	}
 }
 
-// Close closes idle connections now and the others as they come back.
+// Close closes idle connections at once and the others when they are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -126,22 +125,22 @@
 	closeAll(idle)
 }
 
-// PruneIdle closes connections that were idle for too long and returns the number
-// of those left, those in use included.
+// PruneIdle closes connections that exceed the maximum idle time and returns the
+// number of open connections, including those in use.
 func (p *Pool) PruneIdle() int {
-	p.dropOld()
+	p.closeExpired()
 	return p.OpenCount()
 }
 
-// OpenCount returns the number of open connections, those in use included.
+// OpenCount returns the number of open connections, including those in use.
 func (p *Pool) OpenCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// reserve pops the connection used last, or counts a new one in and returns
-// nil.
+// reserve pops the most recently used idle connection. If there is none, it counts
+// a new connection and returns nil.
 func (p *Pool) reserve() (*forward.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,7 +173,7 @@
 func (p *Pool) connect(ctx context.Context) (*forward.Conn, error) {
 	c, err := p.dial(ctx, p.address)
 	if err != nil {
-		p.forget()
+		p.release()
 		return nil, errors.Wrapf(err, "pool: connect to %s", p.address)
 	}
 	return forward.NewConn(c), nil
@@ -182,37 +181,37 @@
 
 func (p *Pool) drop(c *forward.Conn) {
 	c.Close()
-	p.forget()
+	p.release()
 }
 
-func (p *Pool) forget() {
+func (p *Pool) release() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// dropOld closes the connections that have been idle for too long.
-func (p *Pool) dropOld() {
+// closeExpired closes the connections that exceed the maximum idle time.
+func (p *Pool) closeExpired() {
 	p.mu.Lock()
-	old := p.takeOld()
+	expired := p.takeExpired()
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(expired)
 }
 
-// takeOld removes the connections that have been idle for too long; the list is
-// in the order in which they came back.
-func (p *Pool) takeOld() []idleConn {
+// takeExpired removes the connections that exceed the maximum idle time from the
+// list, which is in order of return. It must be called with mu held.
+func (p *Pool) takeExpired() []idleConn {
 	n := 0
-	for n < len(p.idle) && time.Since(p.idle[n].since) > p.maxIdle {
+	for n < len(p.idle) && time.Since(p.idle[n].idleSince) > p.maxIdle {
 		n++
 	}
 	if n == 0 {
 		return nil
 	}
-	old := append([]idleConn(nil), p.idle[:n]...)
+	expired := append([]idleConn(nil), p.idle[:n]...)
 	p.idle = append(p.idle[:0], p.idle[n:]...)
 	p.open -= n
-	return old
+	return expired
 }
 
 func closeAll(conns []idleConn) {
--- a/proxy/pool/pool_test.go
+++ b/proxy/pool/pool_test.go
@@ -19,11 +19,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var errDial = errors.New("no way")
+var errDial = errors.New("dial failed")
 
-// farm counts the connections that a pool opens to it. Each answers every
-// request until closeAll.
-type farm struct {
+// fakeTarget counts the connections opened to it. Each responds to every request
+// until closeAll.
+type fakeTarget struct {
 	opened atomic.Int32
 	done   sync.WaitGroup
 	mu     sync.Mutex
@@ -31,7 +31,7 @@
 	fail   atomic.Bool
 }
 
-func (f *farm) dial(context.Context, string) (net.Conn, error) {
+func (f *fakeTarget) dial(context.Context, string) (net.Conn, error) {
 	if f.fail.Load() {
 		return nil, errDial
 	}
@@ -40,23 +40,23 @@
 		return nil, err
 	}
 	defer l.Close()
-	near, err := net.Dial("tcp", l.Addr().String())
+	client, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	far, err := l.Accept()
+	server, err := l.Accept()
 	if err != nil {
 		return nil, err
 	}
 	f.opened.Add(1)
 	f.mu.Lock()
-	f.open = append(f.open, far)
+	f.open = append(f.open, server)
 	f.mu.Unlock()
-	f.done.Go(func() { answerAll(far) })
-	return near, nil
+	f.done.Go(func() { serve(server) })
+	return client, nil
 }
 
-func answerAll(c net.Conn) {
+func serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -67,7 +67,7 @@
 	}
 }
 
-func (f *farm) closeAll() {
+func (f *fakeTarget) closeAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.open {
@@ -76,9 +76,9 @@
 	f.open = nil
 }
 
-func newPool(t *testing.T, limit int) (*Pool, *farm) {
+func newPool(t *testing.T, limit int) (*Pool, *fakeTarget) {
 	t.Helper()
-	f := &farm{}
+	f := &fakeTarget{}
 	p := New("target", f.dial, limit)
 	t.Cleanup(func() {
 		p.Close()
@@ -104,12 +104,12 @@
 	return err
 }
 
-// Many requests come at once. The node never holds more connections to a target
-// than its part, also while some are being opened.
-func TestConnectionsStayWithinTheBound(t *testing.T) {
+// Concurrent requests must not exceed the connection limit, even while connections
+// are being opened.
+func TestConnectionsStayWithinTheLimit(t *testing.T) {
 	const limit = 5
 	p, f := newPool(t, limit)
-	var most atomic.Int32
+	var peak atomic.Int32
 	var inUse atomic.Int32
 	var done sync.WaitGroup
 	for range 40 {
@@ -124,7 +124,7 @@
 					return
 				}
 				n := inUse.Add(1)
-				for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
+				for m := peak.Load(); n > m && !peak.CompareAndSwap(m, n); m = peak.Load() {
 				}
 				if err := exchange(c, time.Now().Add(time.Minute)); err != nil {
 					t.Error(err)
@@ -135,13 +135,13 @@
 		})
 	}
 	done.Wait()
-	if most.Load() > limit || f.opened.Load() > limit || p.OpenCount() > limit {
-		t.Fatalf("%d in use, %d opened, %d open; at most %d", most.Load(), f.opened.Load(), p.OpenCount(), limit)
+	if peak.Load() > limit || f.opened.Load() > limit || p.OpenCount() > limit {
+		t.Fatalf("%d in use, %d opened, %d open; at most %d", peak.Load(), f.opened.Load(), p.OpenCount(), limit)
 	}
 }
 
-// A target closed its idle connections, as after a restart. The next request
-// must get a new connection: one written to a closed one would be lost.
+// An idle connection closed by the target, as in a restart, must not be reused: the
+// request would be lost.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	p, f := newPool(t, 3)
 	p.Warm(context.Background(), 2)
@@ -157,13 +157,13 @@
 	}
 }
 
-// A connection has been idle for so long that the target may be closing it just
-// now. An order sent on it could be lost; it gets a new connection.
+// A connection idle for longer than the maximum must not be reused, as the target
+// may be closing it.
 func TestLongIdleConnectionIsNotUsed(t *testing.T) {
 	p, f := newPool(t, 3)
 	p.Warm(context.Background(), 2)
 	for i := range p.idle {
-		p.idle[i].since = time.Now().Add(-DefaultMaxIdle - time.Second)
+		p.idle[i].idleSince = time.Now().Add(-DefaultMaxIdle - time.Second)
 	}
 	p.Put(get(t, p))
 	if f.opened.Load() != 3 || p.OpenCount() != 1 {
@@ -171,8 +171,8 @@
 	}
 }
 
-// The target is closed during an exchange. The connection is not kept, and its
-// place is free.
+// A connection that fails during an exchange must be closed and no longer count
+// toward the limit.
 func TestUncleanConnectionIsClosed(t *testing.T) {
 	p, f := newPool(t, 1)
 	c := get(t, p)
@@ -190,8 +190,8 @@
 	}
 }
 
-// A failed dialling leaves its place to the next.
-func TestFailedDialFreesItsPlace(t *testing.T) {
+// A failed dial must not count toward the limit.
+func TestFailedDialIsNotCounted(t *testing.T) {
 	p, f := newPool(t, 1)
 	f.fail.Store(true)
 	for range 3 {
@@ -203,9 +203,9 @@
 	p.Put(get(t, p))
 }
 
-// More nodes have joined and the part of each is smaller. Connections over it
-// are closed as they come back, and none is left after Close.
-func TestSmallerBoundAndClose(t *testing.T) {
+// Returned connections above a lowered limit must be closed, and all of them after
+// Close.
+func TestLoweredLimitAndClose(t *testing.T) {
 	p, _ := newPool(t, 4)
 	var held []*forward.Conn
 	for range 4 {
@@ -216,7 +216,7 @@
 		p.Put(c)
 	}
 	if p.OpenCount() != 2 {
-		t.Fatalf("%d open after the bound was lowered to 2", p.OpenCount())
+		t.Fatalf("%d open after the limit was lowered to 2", p.OpenCount())
 	}
 	p.Close()
 	p.Put(held[3])
