--- a/proxy/balance/set.go
+++ b/proxy/balance/set.go
@@ -91,9 +91,9 @@
 	return s.Targets[index].Health.RecordFailure(now, guard{set: s, now: now})
 }
 
-// MayEject implements eject.Guard: at least half of the targets stay, and the
-// remaining slots must cover the requests in flight. Otherwise a fault common to
-// all targets would overload the last ones.
+// MayEject implements eject.Guard: at least half of the targets must stay, with
+// spare slots beyond the requests in flight. Otherwise a fault common to all
+// targets would overload the last ones.
 func (g guard) MayEject() bool {
 	live, ejected, inFlight, slots := 0, 0, 0, 0
 	for _, t := range g.set.Targets {
--- a/proxy/queue/queue.go
+++ b/proxy/queue/queue.go
@@ -17,7 +17,8 @@
 // ErrLate reports that the request cannot be served before its deadline.
 var ErrLate = errors.New("queue: the deadline cannot be met")
 
-// maxWait is the expected wait while the service rate is zero.
+// maxWait bounds the estimated time per request; it is also the expected wait while
+// the service rate is zero.
 const maxWait = time.Hour
 
 // Source issues the permissions that queued requests wait for.
