--- a/proxy/options.go
+++ b/proxy/options.go
@@ -40,14 +40,14 @@
 	ClaimLocally(key keys.Key) bool
 	// Release frees the key of a request that certainly did not run.
 	Release(ctx context.Context, claim keys.Claim)
-	// Holder returns the VM that recorded a key, and false if that cannot be
+	// Owner returns the VM that recorded a key, and false if that cannot be
 	// found out.
-	Holder(ctx context.Context, key keys.Key) (vm string, known bool)
+	Owner(ctx context.Context, key keys.Key) (vm string, known bool)
 }
 
 // FetchAnswerFunc calls Proxy.KeptAnswer on another node. It returns
 // result.DuplicateKey if the call fails.
-type FetchAnswerFunc func(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code)
+type FetchAnswerFunc func(ctx context.Context, vm string, key keys.Key, print kept.Fingerprint) (*kept.Response, result.Code)
 
 // Options configure a Proxy.
 type Options struct {
