--- a/proxy/account_state.go
+++ b/proxy/account_state.go
@@ -13,26 +13,27 @@
 	"github.com/yuccaroute/yuccaroute/steering/step"
 )
 
-// accountState is what the setters build views from. The proxy's lock guards
-// it.
+// accountState is the mutable state of one account, from which the views that
+// requests read are built. Proxy.mu guards it.
 type accountState struct {
 	proxy   *Proxy
 	name    model.AccountName
 	account *model.Account
 	grants  *grant.Set
 
-	stepper   *step.Stepper
-	target    *plan.Plan
-	effective *plan.Plan
-	// held tells that the move cap keeps the shares from the plan.
-	held bool
+	stepper       *step.Stepper
+	latestPlan    *plan.Plan
+	effectivePlan *plan.Plan
+	// moveCapped is set while the move cap keeps the shares from reaching the
+	// plan.
+	moveCapped bool
 
-	services map[model.ServiceName]*serviceState
-	places   map[grant.Key]*placeState
-	pickers  map[flowKey]*pick.Picker
-	repeats  map[flowKey]*elsewhere
-	bytes    *buffer.Share
-	inFlight *buffer.Share
+	services    map[model.ServiceName]*serviceState
+	places      map[grant.Key]*placeState
+	pickers     map[flowKey]*pick.Picker
+	relocations map[flowKey]*relocationBudget
+	bytes       *buffer.Share
+	inFlight    *buffer.Share
 }
 
 type flowKey struct {
@@ -42,14 +43,14 @@
 
 func newAccountState(p *Proxy, name model.AccountName) *accountState {
 	return &accountState{
-		proxy:    p,
-		name:     name,
-		services: make(map[model.ServiceName]*serviceState),
-		places:   make(map[grant.Key]*placeState),
-		pickers:  make(map[flowKey]*pick.Picker),
-		repeats:  make(map[flowKey]*elsewhere),
-		bytes:    p.bytes.NewShare(),
-		inFlight: p.inFlight.NewShare(),
+		proxy:       p,
+		name:        name,
+		services:    make(map[model.ServiceName]*serviceState),
+		places:      make(map[grant.Key]*placeState),
+		pickers:     make(map[flowKey]*pick.Picker),
+		relocations: make(map[flowKey]*relocationBudget),
+		bytes:       p.bytes.NewShare(),
+		inFlight:    p.inFlight.NewShare(),
 	}
 }
 
@@ -59,7 +60,7 @@
 		s.stepper = step.New(a.Moves, time.Now)
 	}
 	s.stepper.SetLimits(a.Moves)
-	s.advance(s.target)
+	s.advance(s.latestPlan)
 	for i := range a.Services {
 		service := &a.Services[i]
 		if s.services[service.Name] == nil {
@@ -82,7 +83,7 @@
 	state.setService(service, s.roundTrip(place.Region), now)
 }
 
-// roundTrip returns the network delay from the node to a region and back.
+// roundTrip returns the network round-trip time from the node to a region.
 func (s *accountState) roundTrip(to model.RegionName) time.Duration {
 	from := s.account.Region(s.proxy.options.Region)
 	if from == nil || to == s.proxy.options.Region {
@@ -97,25 +98,25 @@
 }
 
 func (s *accountState) setPlan(next *plan.Plan) {
-	if !next.Newer(s.target) {
+	if !next.Newer(s.latestPlan) {
 		return
 	}
-	s.target = next
+	s.latestPlan = next
 	s.advance(next)
 }
 
-// advance steps the shares and reports whether they changed.
+// advance steps the shares towards the plan and reports whether they changed.
 func (s *accountState) advance(next *plan.Plan) bool {
 	if s.stepper == nil {
 		return false
 	}
-	before := s.effective
-	s.effective, s.held = s.stepper.Advance(next)
-	return s.effective != before
+	before := s.effectivePlan
+	s.effectivePlan, s.moveCapped = s.stepper.Advance(next)
+	return s.effectivePlan != before
 }
 
-// setGrants returns when every bucket enforces the set. A set of the same
-// sequence replaces the one in force, since a loan or its end changes the set
+// setGrants returns once every bucket enforces the set. A set of the same
+// sequence replaces the current one, since a loan and its end change the grants
 // within one sequence.
 func (s *accountState) setGrants(set *grant.Set, now time.Time) {
 	if s.grants != nil && s.grants.Newer(set) {
@@ -124,7 +125,7 @@
 	s.grants = set
 	for key, place := range s.places {
 		place.bucket.Set(admission.LimitOf(set, key), now)
-		place.line.Review()
+		place.queue.Review()
 	}
 }
 
@@ -134,12 +135,12 @@
 	}
 }
 
-// adapt fits the bounds of targets to what was measured of them.
-func (s *accountState) adapt() {
+// updateLimits adjusts the limits of targets to their measurements.
+func (s *accountState) updateLimits() {
 	nodes := s.proxy.options.Nodes()
 	for _, place := range s.places {
-		place.adapt(nodes)
-		place.line.Review()
+		place.updateLimits(nodes)
+		place.queue.Review()
 	}
 }
 
@@ -149,14 +150,14 @@
 	}
 }
 
-// view builds what requests read.
+// view builds the immutable view that requests read.
 func (s *accountState) view() *accountView {
 	v := &accountView{
-		account:  s.account,
-		services: make(map[model.ServiceName]*serviceView, len(s.account.Services)),
-		bytes:    s.bytes,
-		inFlight: s.inFlight,
-		held:     s.held,
+		account:    s.account,
+		services:   make(map[model.ServiceName]*serviceView, len(s.account.Services)),
+		bytes:      s.bytes,
+		inFlight:   s.inFlight,
+		moveCapped: s.moveCapped,
 	}
 	for i := range s.account.Services {
 		service := &s.account.Services[i]
@@ -176,11 +177,11 @@
 		key := grant.Key{Account: s.name, Service: service.Name, Place: place.Name}
 		v.places[place.Name] = s.places[key]
 	}
-	if s.effective == nil {
+	if s.effectivePlan == nil {
 		return v
 	}
-	for i := range s.effective.Flows {
-		flow := &s.effective.Flows[i]
+	for i := range s.effectivePlan.Flows {
+		flow := &s.effectivePlan.Flows[i]
 		if flow.Service == service.Name {
 			v.flows[flow.Caller] = s.flowView(flow, v.state)
 		}
@@ -191,22 +192,22 @@
 func (s *accountState) flowView(flow *plan.Flow, state *serviceState) *flowView {
 	key := flowKey{flow.Service, flow.Caller}
 	s.pickers[key] = pick.NewAfter(s.pickers[key], flow)
-	if s.repeats[key] == nil {
-		s.repeats[key] = newElsewhere()
+	if s.relocations[key] == nil {
+		s.relocations[key] = newRelocationBudget()
 	}
-	s.repeats[key].setLeft(s.stepper.Left(flow.Service, flow.Caller))
+	s.relocations[key].setCapLeft(s.stepper.Left(flow.Service, flow.Caller))
 	return &flowView{
-		chooser:   s.pickers[key],
-		shares:    flow.Shares,
-		elsewhere: s.repeats[key],
-		offered:   state.offeredBy(flow.Caller),
+		chooser:     s.pickers[key],
+		shares:      flow.Shares,
+		relocations: s.relocations[key],
+		offered:     state.offeredBy(flow.Caller),
 	}
 }
 
-// refreshLeft tells each flow what its moves have left of the cap.
-func (s *accountState) refreshLeft() {
-	for key, e := range s.repeats {
-		e.setLeft(s.stepper.Left(key.service, key.caller))
+// updateRelocationBudgets passes the unused part of the move cap to each flow.
+func (s *accountState) updateRelocationBudgets() {
+	for key, e := range s.relocations {
+		e.setCapLeft(s.stepper.Left(key.service, key.caller))
 	}
 }
 
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -11,12 +11,12 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// blameFactor is how many times its typical latency a target must have had
-// before an answer that did not come counts as its failure; a caller's short
-// deadline is not.
-const blameFactor = 3
+// timeoutFailureFactor is how many typical latencies must pass before a timeout
+// counts as a failure of the target rather than of a short deadline.
+const timeoutFailureFactor = 3
 
-// attempt is how one sending of a request ended. The zero value is no attempt.
+// attempt is the result of sending a request once. The zero value is no
+// attempt.
 type attempt struct {
 	permission permission
 	answer     *forward.Answer
@@ -31,22 +31,22 @@
 	}
 	switch a.code {
 	case result.DeadlineBeforeSend, result.NodeLeaving, result.CallerGone, result.AnswerTooLarge:
-		// Another target would end in the same way.
+		// Another target would give the same result.
 		return true
 	}
 	return class != model.Idempotent && !isNotRun(a.code)
 }
 
-// better returns what to tell the caller of two attempts: a whole answer goes
-// before everything, the later one first; then "unknown" before "not run",
-// because a request that may have run once must not be called not run. The
-// memory of an answer that is not told is freed.
-func (q *request) better(earlier, later attempt) attempt {
+// bestAttempt returns the attempt to report to the caller: the latest one with
+// an answer, otherwise one with an unknown outcome before one that did not run,
+// because a request that may have run must not be reported as not run. It frees
+// an answer that is not used.
+func (q *request) bestAttempt(earlier, later attempt) attempt {
 	switch {
 	case !earlier.made:
 		return later
 	case later.answer != nil:
-		q.dropAnswer(earlier.answer)
+		q.releaseAnswer(earlier.answer)
 		return later
 	case earlier.answer != nil:
 		return earlier
@@ -57,26 +57,26 @@
 	}
 }
 
-// dropAnswer frees the memory of an answer.
-func (q *request) dropAnswer(a *forward.Answer) {
+// releaseAnswer frees the buffer memory of an answer.
+func (q *request) releaseAnswer(a *forward.Answer) {
 	if a != nil {
 		q.account.bytes.Give(a.Reserved)
 	}
 }
 
-func (a attempt) ending() ending {
+func (a attempt) response() response {
 	if a.answer == nil {
-		return refused(refuse(a.code))
+		return refusalResponse(refuse(a.code))
 	}
-	return ending{answer: a.answer, place: a.permission.place.field, target: a.permission.target.field}
+	return response{answer: a.answer, place: a.permission.place.headerValue, target: a.permission.target.headerValue}
 }
 
-// attempt sends a request to one target, once, and gives up at the deadline.
+// attempt sends a request to one target once and gives up at the deadline.
 func (p *Proxy) attempt(ctx context.Context, q *request, permission permission, deadline time.Time) attempt {
 	a := attempt{permission: permission, made: true}
-	if p.base.Err() != nil {
-		// The slots of requests that end with the proxy are free for a moment;
-		// nothing new may be sent on them.
+	if p.baseContext.Err() != nil {
+		// Slots freed by requests that end with the proxy must not be used
+		// again.
 		permission.cancel()
 		a.code = result.NodeLeaving
 		return a
@@ -84,7 +84,7 @@
 	conn, err := permission.target.pool.Get(ctx)
 	if err != nil {
 		permission.cancel()
-		a.code = p.connectFailed(ctx, permission)
+		a.code = p.handleConnectError(ctx, permission)
 		return a
 	}
 	if !permission.stillGranted() {
@@ -93,24 +93,24 @@
 		a.code = result.NoCapacity
 		return a
 	}
-	permission.place.counts.tried.Add(1)
+	permission.place.counts.attempts.Add(1)
 	q.out.Host = permission.target.host
 	q.out.Deadline = deadline
 	sent := time.Now()
 	answer, err := conn.Exchange(ctx, &q.out)
 	permission.target.pool.Put(conn)
 	permission.release()
-	took := q.servedFor(sent)
+	took := q.targetTime(sent)
 	if err != nil {
-		a.code = p.exchangeFailed(ctx, permission, err, took)
+		a.code = p.handleExchangeError(ctx, permission, err, took)
 		return a
 	}
-	p.learn(permission, answer, took)
+	p.recordAnswer(permission, answer, took)
 	if q.out.Length > p.options.StreamOverBytes && answer.Writing > 0 {
-		q.service.state.sending.observe(q.out.Length, answer.Writing)
+		q.service.state.sendTime.observe(q.out.Length, answer.Writing)
 	}
 	if answer.Shed {
-		q.dropAnswer(answer)
+		q.releaseAnswer(answer)
 		a.code = result.TargetShed
 		return a
 	}
@@ -118,56 +118,57 @@
 	return a
 }
 
-// connectFailed tells why no connection was there. Nothing was sent.
-func (p *Proxy) connectFailed(ctx context.Context, permission permission) result.Code {
+// handleConnectError returns the result of a request that got no connection.
+// Nothing was sent.
+func (p *Proxy) handleConnectError(ctx context.Context, permission permission) result.Code {
 	if ctx.Err() != nil {
-		return p.endedCode(ctx)
+		return p.contextErrorCode(ctx)
 	}
-	permission.place.counts.tried.Add(1)
-	p.failed(permission)
+	permission.place.counts.attempts.Add(1)
+	p.recordFailure(permission)
 	return result.ConnectFailed
 }
 
-func (p *Proxy) exchangeFailed(ctx context.Context, permission permission, err error, took time.Duration) result.Code {
+func (p *Proxy) handleExchangeError(ctx context.Context, permission permission, err error, took time.Duration) result.Code {
 	code := result.Internal
 	var failure *forward.Error
 	if errors.As(err, &failure) {
 		code = failure.Code
 	}
 	if code == result.DeadlineAfterSend {
-		permission.place.tail.cutOff(took)
+		permission.place.tailLatency.observeTimeout(took)
 	}
-	if p.blames(permission.target, code, took) {
-		p.failed(permission)
+	if p.isTargetFailure(permission.target, code, took) {
+		p.recordFailure(permission)
 	}
 	if code == result.DeadlineBeforeSend {
-		return p.endedCode(ctx)
+		return p.contextErrorCode(ctx)
 	}
 	return code
 }
 
-// blames reports whether a failure is the target's.
-func (p *Proxy) blames(t *target, code result.Code, took time.Duration) bool {
+// isTargetFailure reports whether a failed exchange counts against the target.
+func (p *Proxy) isTargetFailure(t *target, code result.Code, took time.Duration) bool {
 	switch code {
 	case result.ConnectionLost, result.AnswerTruncated, result.ConnectFailed:
 		return true
 	case result.DeadlineAfterSend:
-		return took >= blameFactor*t.state.Latency()
+		return took >= timeoutFailureFactor*t.state.Latency()
 	default:
 		return false
 	}
 }
 
-func (p *Proxy) failed(permission permission) {
+func (p *Proxy) recordFailure(permission permission) {
 	permission.place.counts.failed.Add(1)
 	if permission.set.set.Failed(permission.index, p.now()) {
-		p.log.Warnf("proxy: target %s of %s in %s ejected, its requests fail",
+		p.log.Warnf("proxy: ejected target %s of service %s in place %s after failed requests",
 			permission.target.id, permission.place.key.Service, permission.place.key.Place)
 	}
 }
 
-// learn takes from an answer what it tells of the target.
-func (p *Proxy) learn(permission permission, answer *forward.Answer, took time.Duration) {
+// recordAnswer updates the state of the target and the statistics of its place.
+func (p *Proxy) recordAnswer(permission permission, answer *forward.Answer, took time.Duration) {
 	state := permission.target.state
 	now := p.now()
 	if answer.Leaving {
@@ -178,15 +179,15 @@
 		return
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		p.failed(permission)
+		p.recordFailure(permission)
 		return
 	}
 	state.Health.Succeeded(now)
 	if took == 0 {
-		// Answered before the body was whole.
+		// The target answered before the body was complete.
 		return
 	}
 	state.Served(took)
-	permission.place.counts.answered(took)
-	permission.place.tail.observe(took)
+	permission.place.counts.recordLatency(took)
+	permission.place.tailLatency.observe(took)
 }
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -19,7 +19,7 @@
 	standin "github.com/yuccaroute/yuccaroute/standin/target"
 )
 
-// benchProxy returns a proxy with n targets that nothing listens at.
+// benchProxy returns a proxy with n targets at addresses where nothing listens.
 func benchProxy(b *testing.B, n int) *Proxy {
 	var addresses []string
 	for i := range n {
@@ -28,8 +28,8 @@
 	return newTestProxy(b, func(_ *Options, m *model.Account) { m.Services[0].SlotsPerTarget = 1 << 20 }, addresses...)
 }
 
-// BenchmarkChoose chooses place and target of one request, with the grant's
-// token and the target's slot, and frees them.
+// BenchmarkChoose measures the choice of place and target with the token and
+// the slot of one request, and their release.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{16, 64} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -40,7 +40,7 @@
 				_, service := p.current.Load().find(h)
 				place := service.places[service.flows[testRegion].chooser.Next()]
 				permission, short, _ := place.acquire(model.Idempotent, 0)
-				if short == shortNone {
+				if short == noShortage {
 					permission.release()
 				}
 			}
@@ -48,8 +48,9 @@
 	}
 }
 
-// BenchmarkPlaceState makes the state of one place and service, of which a node
-// has as many as its accounts have, also where nothing is sent.
+// BenchmarkPlaceState measures the allocation of the state of one service in
+// one place. A node has one for each pair of its accounts, also without
+// traffic.
 func BenchmarkPlaceState(b *testing.B) {
 	p := benchProxy(b, 1)
 	key := grant.Key{Account: testAccount, Service: testService, Place: testPlace}
@@ -59,8 +60,8 @@
 	}
 }
 
-// BenchmarkExchange sends look-ups of one kind to one stand-in target from a
-// number of callers at once: directly, and through the proxy and its server.
+// BenchmarkExchange sends idempotent requests from concurrent callers to a
+// stand-in target, directly and through the proxy and its server.
 func BenchmarkExchange(b *testing.B) {
 	for _, callers := range []int{1, 64, 512} {
 		for _, way := range []string{"direct", "proxied"} {
@@ -71,16 +72,16 @@
 	}
 }
 
-// Bounds of the stand-in: more than the callers need, so that the way to it is
-// what is measured.
+// Capacity of the stand-in: more than the callers need, so that the path to it
+// is what is measured.
 const (
 	benchSlots       = 1024
 	benchServiceTime = time.Millisecond
 	maxBenchBytes    = 16 << 20
 )
 
-// benchAddress starts a stand-in target and returns the address to send to: its
-// own, or that of a proxy before it.
+// benchAddress starts a stand-in target and returns its address, or that of a
+// proxy in front of it.
 func benchAddress(b *testing.B, way string) string {
 	t := standin.New(standin.Options{Slots: benchSlots, ServiceTime: benchServiceTime, MaxBodyBytes: maxBenchBytes})
 	if err := t.Start("127.0.0.1:0"); err != nil {
@@ -118,7 +119,7 @@
 	b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-µs")
 }
 
-// sendMany sends n look-ups from the callers and returns their latencies.
+// sendMany sends n requests from the callers and returns their latencies.
 func sendMany(b *testing.B, client *http.Client, url string, callers, n int) []time.Duration {
 	var left atomic.Int64
 	left.Store(int64(n))
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -12,22 +12,21 @@
 	"github.com/yuccaroute/yuccaroute/proxy/ingress"
 )
 
-// loadBody finds the body's pieces in memory and reserves their bytes. Nothing
-// is read from the caller here in production: the server collects bodies, and
-// hands a request over before its body is whole only if the rest is about to
-// come.
+// loadBody finds the body in memory and reserves its bytes. In production
+// nothing is read from the caller here: the server buffers bodies and hands
+// over a request with an incomplete body only if the rest is expected soon.
 func (q *request) loadBody(r *http.Request) *refusal {
 	limit := requestLimit(q.service.service)
 	if r.ContentLength > limit {
 		return refuse(result.RequestTooLarge)
 	}
-	if coming := comingBody(r.Body); coming != nil {
-		q.coming = coming
+	if coming := incompleteBody(r.Body); coming != nil {
+		q.partialBody = coming
 		q.out.Source = coming
 		q.out.Length = r.ContentLength
 		return nil
 	}
-	pieces, err := piecesOf(r.Body, limit)
+	pieces, err := bodyPieces(r.Body, limit)
 	if err != nil {
 		return refuse(result.BadRequest)
 	}
@@ -49,7 +48,7 @@
 	return nil
 }
 
-func (q *request) dropBody() { q.account.bytes.Give(q.reserved) }
+func (q *request) releaseBody() { q.account.bytes.Give(q.reserved) }
 
 func requestLimit(service *model.Service) int64 {
 	if service.MaxRequestBytes <= 0 {
@@ -58,8 +57,8 @@
 	return service.MaxRequestBytes
 }
 
-// comingBody returns a body that is not whole yet, or nil.
-func comingBody(body io.ReadCloser) *ingress.Body {
+// incompleteBody returns the body if it has not arrived in full, or nil.
+func incompleteBody(body io.ReadCloser) *ingress.Body {
 	collected, ok := body.(*ingress.Body)
 	if !ok {
 		return nil
@@ -70,14 +69,14 @@
 	return collected
 }
 
-// servedFor returns how long a target has had a request that was sent at a time.
-// While the body still comes the target waits for the caller, which says
-// nothing of the target; 0 until it is whole.
-func (q *request) servedFor(sent time.Time) time.Duration {
-	if q.coming == nil {
+// targetTime returns how long a target has had a complete request that was sent
+// at the given time, 0 while the body is incomplete. Time during which the
+// target waits for the caller's body is not counted.
+func (q *request) targetTime(sent time.Time) time.Duration {
+	if q.partialBody == nil {
 		return time.Since(sent)
 	}
-	wholeAt, whole := q.coming.WholeAt()
+	wholeAt, whole := q.partialBody.WholeAt()
 	if !whole {
 		return 0
 	}
@@ -87,9 +86,9 @@
 	return time.Since(sent)
 }
 
-// piecesOf returns the body without consuming it, so that an idempotent
-// request can be sent again.
-func piecesOf(body io.ReadCloser, limit int64) ([][]byte, error) {
+// bodyPieces returns the body without consuming it, so that an idempotent
+// request can be retried.
+func bodyPieces(body io.ReadCloser, limit int64) ([][]byte, error) {
 	if body == nil || body == http.NoBody {
 		return nil, nil
 	}
--- a/proxy/caller.go
+++ b/proxy/caller.go
@@ -8,24 +8,25 @@
 	"github.com/yuccaroute/yuccaroute/proxy/ingress"
 )
 
-// caller is what the server towards callers adds to a ResponseWriter.
+// caller is what the ingress server adds to a ResponseWriter.
 type caller interface {
-	// WatchClose calls gone once the caller has gone, until stop is called.
-	WatchClose(r *http.Request, gone func()) (stop func())
-	// Began returns when the request's first line was there.
+	// WatchClose calls onClose when the caller disconnects, until stop is
+	// called.
+	WatchClose(r *http.Request, onClose func()) (stop func())
+	// Began returns when the request line was received.
 	Began() time.Time
-	// BodyReserved reports whether the body's memory is accounted for.
+	// BodyReserved reports whether the body's memory is already reserved.
 	BodyReserved() bool
 }
 
 var _ caller = (*ingress.Writer)(nil)
 
-// plainCaller stands in for servers that add nothing.
+// plainCaller implements caller for other HTTP servers.
 type plainCaller struct{ began time.Time }
 
-// WatchClose implements caller by the request's context.
-func (plainCaller) WatchClose(r *http.Request, gone func()) (stop func()) {
-	ended := context.AfterFunc(r.Context(), gone)
+// WatchClose implements caller with the request's context.
+func (plainCaller) WatchClose(r *http.Request, onClose func()) (stop func()) {
+	ended := context.AfterFunc(r.Context(), onClose)
 	return func() { ended() }
 }
 
--- a/proxy/caller_test.go
+++ b/proxy/caller_test.go
@@ -15,7 +15,7 @@
 
 const requestHead = "Yucca-Account: " + testAccount + "\r\nYucca-Service: " + testService + "\r\n"
 
-func serveCallers(t *testing.T, p *Proxy) *ingress.Server {
+func startIngress(t *testing.T, p *Proxy) *ingress.Server {
 	t.Helper()
 	s, err := ingress.Start(ingress.Options{Address: "127.0.0.1:0", Handler: p, Bodies: p})
 	if err != nil {
@@ -35,12 +35,11 @@
 	return c, bufio.NewReader(c)
 }
 
-// A farmer's phone loses its connection while the target works on the order.
-// The target sees the cancellation and the slot is free again, although the
-// deadline is far away.
-func TestCallerThatGoesFreesItsSlot(t *testing.T) {
+// Guards against a slot that stays taken until the deadline after the caller
+// has disconnected.
+func TestCallerDisconnectReleasesSlot(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
-	target := newScripted(t, func(c *scriptedConn) {
+	target := newScriptedTarget(t, func(c *scriptedConn) {
 		if c.next() == nil {
 			return
 		}
@@ -49,12 +48,12 @@
 		close(ended)
 	})
 	p := newTestProxy(t, nil, target.address())
-	conn, _ := dialCaller(t, serveCallers(t, p))
+	conn, _ := dialCaller(t, startIngress(t, p))
 	_, _ = io.WriteString(conn, "POST /orders HTTP/1.1\r\n"+requestHead+"Yucca-Deadline-Ms: 600000\r\nContent-Length: 1\r\n\r\nx")
 	<-got
 	conn.Close()
 	<-ended
-	until(func() bool { return p.InFlight() == 0 })
+	waitUntil(func() bool { return p.InFlight() == 0 })
 	for _, m := range onlyPlace(p).targets.Load().members {
 		if n := m.state.Outstanding(); n != 0 {
 			t.Fatalf("%d slots taken", n)
@@ -66,27 +65,27 @@
 	return p.current.Load().accounts[testAccount].services[testService].places[testPlace]
 }
 
-// The whole way over real connections: answers of all kinds reach the caller
-// byte for byte, in the order of its requests.
+// Answers of all forms must reach the caller unchanged and in the order of its
+// requests.
 func TestAnswersOverOneCallerConnection(t *testing.T) {
-	target := newScripted(t, func(c *scriptedConn) {
+	target := newScriptedTarget(t, func(c *scriptedConn) {
 		for r := c.next(); r != nil; r = c.next() {
 			switch r.URL.Path {
 			case "/stock/empty":
-				c.say("HTTP/1.1 204 No Content\r\n\r\n")
+				c.respond("HTTP/1.1 204 No Content\r\n\r\n")
 			case "/stock/chunked":
-				c.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n3\r\ndef\r\n0\r\n\r\n")
+				c.respond("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n3\r\ndef\r\n0\r\n\r\n")
 			case "/stock/strange":
-				c.say("HTTP/1.1 599 Strange\r\nContent-Length: 2\r\n\r\nno")
+				c.respond("HTTP/1.1 599 Strange\r\nContent-Length: 2\r\n\r\nno")
 			case "/stock/head":
-				c.say("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n")
+				c.respond("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n")
 			default:
-				c.say(okAnswer)
+				c.respond(okAnswer)
 			}
 		}
 	})
 	p := newTestProxy(t, nil, target.address())
-	conn, reader := dialCaller(t, serveCallers(t, p))
+	conn, reader := dialCaller(t, startIngress(t, p))
 	for _, c := range []struct {
 		method, path string
 		status       int
@@ -113,17 +112,17 @@
 	}
 }
 
-// Uploads over the account's memory are refused before they come, those over
-// the service's limit too, and the target sees neither.
-func TestUploadsAreBounded(t *testing.T) {
+// Uploads above the service's limit or the account's memory must be refused
+// before their bodies are read, without reaching the target.
+func TestOversizedUploadsAreRefused(t *testing.T) {
 	p, target := newServingProxy(t, nil)
-	s := serveCallers(t, p)
+	s := startIngress(t, p)
 	conn, reader := dialCaller(t, s)
 	_, _ = io.WriteString(conn, "POST /orders HTTP/1.1\r\n"+requestHead+"Content-Length: 1048577\r\n\r\n")
 	wantCallerResult(t, reader, "103")
 	share := p.current.Load().accounts[testAccount].bytes
 	if !share.Take(200 << 20) {
-		t.Fatal("the memory is smaller than expected")
+		t.Fatal("account memory is smaller than expected")
 	}
 	for share.Take(1 << 20) {
 	}
@@ -140,7 +139,7 @@
 	}
 }
 
-// resultOf reads an answer and returns its number, or the error.
+// resultOf reads a response and returns its result number, or the error.
 func resultOf(reader *bufio.Reader) string {
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -149,7 +148,7 @@
 	return resp.Header.Get(result.HeaderResult)
 }
 
-func TestMalformedFieldsGetANumber(t *testing.T) {
+func TestMalformedHeadersAreRefused(t *testing.T) {
 	p := newTestProxy(t, nil)
 	for _, c := range []struct {
 		fields []string
@@ -169,10 +168,11 @@
 	}
 }
 
-// A path that the target may read as an order must not count as a look-up.
-func TestDisguisedPathsAreNotIdempotent(t *testing.T) {
+// A path that the target may normalize to a non-idempotent route must not be
+// retried.
+func TestNonCanonicalPathsAreNotIdempotent(t *testing.T) {
 	for _, path := range []string{"/stock/../orders", "/stock/./x", "/stock//x", "/stock/%2e%2e/orders", "/stock%2Forders"} {
-		cut := newScripted(t, cutAfterRequest)
+		cut := newScriptedTarget(t, cutAfterRequest)
 		p := newTestProxy(t, nil, cut.address(), cut.address())
 		call(p, http.MethodGet, path, "")
 		if n := cut.requests.Load(); n != 1 {
--- a/proxy/fuzz_test.go
+++ b/proxy/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// FuzzCallerFields feeds what a caller may say. Every request ends in exactly
-// one numbered result, and with no target there it did not run.
+// FuzzCallerFields checks that every request ends in exactly one numbered
+// result and, as there is no target, is reported as not run.
 func FuzzCallerFields(f *testing.F) {
 	f.Add("GET", "/stock", testAccount, testService, "100", "key-1")
 	f.Add("POST", "/orders?x=%20", testAccount, testService, "-1", "a b")
--- a/proxy/harness_test.go
+++ b/proxy/harness_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// newTestProxy returns a proxy with everything in force for the targets.
+// newTestProxy returns a proxy with account, plan, grants and targets applied.
 func newTestProxy(t testing.TB, change func(*Options, *model.Account), addresses ...string) *Proxy {
 	t.Helper()
 	logger := logrus.New()
@@ -102,10 +102,10 @@
 	return p
 }
 
-// newServingProxy returns a proxy with one target that answers everything.
-func newServingProxy(t *testing.T, change func(*Options, *model.Account)) (*Proxy, *scripted) {
+// newServingProxy returns a proxy with one target that answers every request.
+func newServingProxy(t *testing.T, change func(*Options, *model.Account)) (*Proxy, *scriptedTarget) {
 	t.Helper()
-	target := newScripted(t, answering(okAnswer))
+	target := newScriptedTarget(t, respondAlways(okAnswer))
 	return newTestProxy(t, change, target.address()), target
 }
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// callWithinGrant repeats a call that the grant refuses. Buckets are empty when
-// a test begins, and bulk work waits until they are half full.
+// callWithinGrant retries a call while the grant refuses it. Buckets are empty
+// when a test begins, and bulk requests wait until they are half full.
 func callWithinGrant(p *Proxy, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	for {
 		w := call(p, method, path, body, headers...)
@@ -152,9 +152,9 @@
 	}
 }
 
-// until returns when the condition holds; a test whose condition never does is
-// ended by the test's own time limit.
-func until(condition func() bool) {
+// waitUntil returns when the condition holds; the test's timeout bounds the
+// wait.
+func waitUntil(condition func() bool) {
 	for !condition() {
 		runtime.Gosched()
 	}
--- a/proxy/keys_test.go
+++ b/proxy/keys_test.go
@@ -32,10 +32,10 @@
 	}
 }
 
-// A dealer's answer is lost with its entry VM, and the dealer's client sends the
-// order again through another one. It must not run a second time.
-func TestRepeatThroughAnotherNodeIsRefused(t *testing.T) {
-	target := newScripted(t, answering(okAnswer))
+// A request that is repeated with its key through another node must not run
+// twice.
+func TestDuplicateKeyThroughAnotherNodeIsRefused(t *testing.T) {
+	target := newScriptedTarget(t, respondAlways(okAnswer))
 	kv := newStore()
 	a := newTestProxy(t, withKeys(kv, model.OutageRefuse), target.address())
 	b := newTestProxy(t, withKeys(kv, model.OutageRefuse), target.address())
@@ -49,9 +49,10 @@
 	target.wantRequests(t, 2)
 }
 
-// A warehouse sends a scan again with its key. Uploads are not idempotent either.
+// Bulk requests are not idempotent: a repeated upload must be refused by its
+// key.
 func TestRepeatedUploadIsRefused(t *testing.T) {
-	target := newScripted(t, answering(okAnswer))
+	target := newScriptedTarget(t, respondAlways(okAnswer))
 	kv := newStore()
 	p := newTestProxy(t, withKeys(kv, model.OutageRefuse), target.address())
 	first := callWithinGrant(p, http.MethodPost, "/docs", "scan", result.HeaderKey, "s-1")
@@ -60,11 +61,10 @@
 	target.wantRequests(t, 1)
 }
 
-// A target sheds an order with a key. The order did not run, so the dealer may
-// send it again with the same key.
-func TestKeyOfAShedOrderMayBeUsedAgain(t *testing.T) {
-	shedding := newScripted(t, answering(shedAnswer))
-	good := newScripted(t, answering(okAnswer))
+// A shed order did not run, so its key may be used again.
+func TestKeyOfShedOrderIsReleased(t *testing.T) {
+	shedding := newScriptedTarget(t, respondAlways(shedAnswer))
+	good := newScriptedTarget(t, respondAlways(okAnswer))
 	kv := newStore()
 	a := newTestProxy(t, withKeys(kv, model.OutageRefuse), shedding.address())
 	b := newTestProxy(t, withKeys(kv, model.OutageRefuse), good.address())
@@ -72,10 +72,10 @@
 	wantOrder(t, b, "0 ran")
 }
 
-// The store is out. One account wants its orders refused, another one served;
-// look-ups and orders without a key are served for both.
-func TestStoreOutageFollowsTheAccount(t *testing.T) {
-	target := newScripted(t, answering(okAnswer))
+// During a store outage keyed orders are refused or served as the account
+// requires; idempotent requests and orders without a key are always served.
+func TestStoreOutagePolicyPerAccount(t *testing.T) {
+	target := newScriptedTarget(t, respondAlways(okAnswer))
 	kv := newStore()
 	kv.SetOutage(true)
 	refusing := newTestProxy(t, withKeys(kv, model.OutageRefuse), target.address())
@@ -89,10 +89,9 @@
 	wantResult(t, call(refusing, http.MethodGet, "/stock", ""), result.OK)
 }
 
-// The store takes the write but every answer is lost, so that it is not known
-// whether the key is recorded. The order is not sent.
-func TestUnknownRecordIsNotSent(t *testing.T) {
-	target := newScripted(t, answering(okAnswer))
+// An order must not be sent if it is unknown whether its key was recorded.
+func TestUnconfirmedKeyRecordIsNotSent(t *testing.T) {
+	target := newScriptedTarget(t, respondAlways(okAnswer))
 	lost := func(c faultkv.Call) faultkv.Decision {
 		if c.Kind == faultkv.KindSwap || c.Kind == faultkv.KindGet {
 			return faultkv.Decision{Fault: faultkv.Drop}
--- a/proxy/limits.go
+++ b/proxy/limits.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	// unevenness is how many times its even share of a target's slots a node
-	// may use: traffic is not spread evenly over nodes.
-	unevenness = 2
-	// minSlots leaves room for a second request beside a bulk one.
+	// imbalanceFactor is how many times its even share of a target's slots a
+	// node may use, since traffic is not spread evenly over nodes.
+	imbalanceFactor = 2
+	// minSlots leaves room for another request beside a bulk one.
 	minSlots = 2
-	// minService bounds the time a request is taken to need at a target.
-	minService = time.Millisecond
-	// maxWireFactor bounds how many requests are on the wire for each slot.
-	maxWireFactor = 64
-	// defaultConnections applies when the service sets no bound.
+	// minServiceTime is the shortest service time that slotLimit assumes.
+	minServiceTime = time.Millisecond
+	// maxInTransitPerSlot bounds the requests in transit for each slot.
+	maxInTransitPerSlot = 64
+	// defaultConnections applies if the service sets no limit.
 	defaultConnections = 64
-	// joiningNodes is how many nodes may join before the others divide by the
-	// new number; the bound on connections must hold then as well.
-	joiningNodes = 2
-	// warmedConnections is how many connections to a target are kept open ahead
-	// of the requests that need them.
-	warmedConnections = 2
-	// warmPause is the time between two tries to open them: a target that takes
-	// none must not be asked all the time.
-	warmPause = time.Second
+	// maxJoiningNodes is how many nodes may join before the others recompute
+	// their share of the connections.
+	maxJoiningNodes = 2
+	// warmConnections is how many connections to a target are opened ahead of
+	// demand.
+	warmConnections = 2
+	// warmInterval is the time between attempts to open them, which limits the
+	// load on a target that accepts none.
+	warmInterval = time.Second
 )
 
-// slotLimit returns how many requests of this node one target takes at once.
-// Requests on the wire hold no slot at the target, so the longer the way the
-// more of them may be under way. The rate is bounded by the grant in any case.
+// slotLimit returns how many requests this node may have outstanding at one
+// target. Requests in transit hold no slot there, so the limit grows with the
+// round-trip time; the grant bounds the rate.
 func slotLimit(slots, nodes int, roundTrip, latency time.Duration) int {
 	if slots <= 0 {
 		slots = minSlots
 	}
-	share := (unevenness*slots + nodes - 1) / max(1, nodes)
+	share := (imbalanceFactor*slots + nodes - 1) / max(1, nodes)
 	share = min(max(share, minSlots), slots)
-	service := max(latency-roundTrip, minService)
-	wire := min(float64(roundTrip)/float64(service), maxWireFactor)
-	return int(math.Ceil(float64(share) * (1 + wire)))
+	service := max(latency-roundTrip, minServiceTime)
+	inTransit := min(float64(roundTrip)/float64(service), maxInTransitPerSlot)
+	return int(math.Ceil(float64(share) * (1 + inTransit)))
 }
 
-// connectionLimit divides the connections a target takes between the nodes.
+// connectionLimit returns the node's share of the connections to a target.
 func connectionLimit(perTarget, nodes int) int {
 	if perTarget <= 0 {
 		return defaultConnections
 	}
-	return max(1, perTarget/(max(1, nodes)+joiningNodes))
+	return max(1, perTarget/(max(1, nodes)+maxJoiningNodes))
 }
--- a/proxy/limits_test.go
+++ b/proxy/limits_test.go
@@ -16,10 +16,9 @@
 	"github.com/yuccaroute/yuccaroute/proxy/admission"
 )
 
-// A decider takes a node's grant away and gives it to another node as soon as
-// SetGrants has returned here. Not one request may be sent on the old grant
-// after that, or the sum passes the capacity.
-func TestNothingIsSentOnAnOldGrant(t *testing.T) {
+// No request may be sent on the old grant after SetGrants has returned: another
+// node may already use it.
+func TestReplacedGrantAdmitsNothing(t *testing.T) {
 	p, target := newServingProxy(t, nil)
 	wantResult(t, callWithinGrant(p, http.MethodPost, "/orders", "x"), result.OK)
 	p.SetGrants(testGrants(2, 0))
@@ -34,8 +33,8 @@
 	wantResult(t, call(p, http.MethodGet, "/stock", ""), result.NoCapacity)
 }
 
-// A surplus has expired, as it has for a process that resumes after a pause.
-// Only the floor counts, without another set having come.
+// Once the surplus has expired only the floor counts, even if no newer set
+// arrives.
 func TestExpiredSurplusIsNotUsed(t *testing.T) {
 	p, _ := newServingProxy(t, nil)
 	set := testGrants(2, 0)
@@ -45,9 +44,9 @@
 	wantResult(t, call(p, http.MethodGet, "/stock", ""), result.NoCapacity)
 }
 
-// The account wants traffic above a grant to wait. It does while its deadline
-// can be met, and is refused at once when it cannot.
-func TestExcessWaitsWithinTheDeadline(t *testing.T) {
+// Excess is queued if the account wants it, and refused at once if the deadline
+// cannot be met.
+func TestExcessQueuesWithinDeadline(t *testing.T) {
 	waits := func(_ *Options, m *model.Account) { m.Excess = model.ExcessWait }
 	p, target := newServingProxy(t, waits)
 	p.SetGrants(testGrants(2, 100*grant.PerRequest))
@@ -59,19 +58,18 @@
 	w := call(p, http.MethodGet, "/stock", "", result.HeaderDeadline, "40")
 	wantResult(t, w, result.NoCapacity)
 	if target.requests.Load() != began {
-		t.Fatal("sent without a grant")
+		t.Fatal("request sent without a grant")
 	}
 }
 
-// The account wants excess refused. Requests that come close together while the
-// node is below its grant are not excess: they wait for milliseconds. Many at
-// once are, and the grant holds for those that are sent.
-func TestCloseArrivalsAreNotExcess(t *testing.T) {
+// With excess refused, short bursts below the grant must wait briefly instead
+// of being refused, and the requests that are sent stay within the grant.
+func TestShortBurstIsNotExcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := 0
 		target := &pipeTarget{serve: func() time.Duration { sent++; return 0 }}
 		p := newTestProxy(t, func(o *Options, _ *model.Account) { o.Dial = target.dial }, "10.0.0.1:80")
-		defer settle(p)
+		defer closeAndSettle(p)
 		p.SetGrants(testGrants(2, 100*grant.PerRequest))
 		for range 10 {
 			wantResult(t, call(p, http.MethodGet, "/stock", ""), result.OK)
@@ -90,24 +88,24 @@
 	})
 }
 
-// The grant is ample and all slots are taken. A request that cannot wait for
-// one is refused as not run, and told that the targets are the reason.
-func TestTakenSlotsAreTold(t *testing.T) {
-	target, release := newHeld(t)
+// A request that cannot wait for a slot is refused as not run, with the targets
+// rather than the grant as the reason.
+func TestSlotShortageIsReported(t *testing.T) {
+	target, release := newBlockedTarget(t)
 	p := newTestProxy(t, nil, target.address())
 	var done sync.WaitGroup
 	for range 3 {
 		done.Go(func() { callWithinGrant(p, http.MethodPost, "/orders", "x", result.HeaderDeadline, "60000") })
 	}
-	until(func() bool { return target.requests.Load() == 3 })
+	waitUntil(func() bool { return target.requests.Load() == 3 })
 	wantResult(t, call(p, http.MethodPost, "/orders", "x", result.HeaderDeadline, "40"), result.QueueFull)
 	release()
 	done.Wait()
 }
 
-// The place is farther away than the deadline allows. The order is refused as
-// not run instead of being sent and ending as unknown.
-func TestPlaceBeyondTheDeadline(t *testing.T) {
+// A place whose round trip exceeds the deadline must refuse an order as not run
+// instead of sending it with an unknown outcome.
+func TestRoundTripBeyondDeadlineIsRefused(t *testing.T) {
 	far := func(o *Options, m *model.Account) {
 		o.Region = "kr-busan"
 		o.CallerRegion = func(model.AccountName, netip.Addr) (model.RegionName, bool) { return testRegion, true }
@@ -121,10 +119,10 @@
 	wantResult(t, callWithinGrant(p, http.MethodPost, "/orders", "x", result.HeaderDeadline, "60000"), result.OK)
 }
 
-// All targets of a service leave or are missing, and the plan names only this
-// place. The request is refused; another place would be a move without a cap.
-func TestNoSpillToAPlaceThePlanDoesNotName(t *testing.T) {
-	other := newScripted(t, answering(okAnswer))
+// Without targets in the planned place a request is refused: using another
+// place would bypass the move cap.
+func TestNoSpillToUnplannedPlace(t *testing.T) {
+	other := newScriptedTarget(t, respondAlways(okAnswer))
 	withPlace := func(_ *Options, m *model.Account) {
 		m.Places = append(m.Places, model.Place{Name: "kr-busan-a", Region: testRegion})
 	}
@@ -140,9 +138,9 @@
 	other.wantRequests(t, 0)
 }
 
-// A place has lost its targets and the plan has left it, but the move cap lets
-// traffic follow only in steps. The caller is told that the cap is the reason.
-func TestHeldTrafficIsToldSo(t *testing.T) {
+// A request held by the move cap in a place without targets must be refused
+// with the cap as the reason.
+func TestMoveCapIsReportedAsReason(t *testing.T) {
 	capped := func(_ *Options, m *model.Account) {
 		m.Places = append(m.Places, model.Place{Name: "kr-busan-a", Region: testRegion})
 		m.Moves = model.MoveLimits{Share: 0.1, Window: time.Hour}
@@ -162,9 +160,8 @@
 	}
 }
 
-// A plan is replaced while requests run: every request follows one plan or the
-// other, and an older plan that arrives late does not return.
-func TestOlderPlanDoesNotReturn(t *testing.T) {
+// A plan that arrives after a newer one must be ignored.
+func TestOlderPlanIsIgnored(t *testing.T) {
 	p, _ := newServingProxy(t, nil)
 	empty := testPlan()
 	empty.Sequence = 3
@@ -174,16 +171,16 @@
 	wantResult(t, call(p, http.MethodGet, "/stock", ""), result.NoPlan)
 }
 
-// Uploads hold all but one slot for a long time. An order must not wait for
-// them.
-func TestBulkLeavesASlotToOrders(t *testing.T) {
+// Bulk requests must not take the last slot: an order must not wait for
+// uploads.
+func TestBulkLeavesSlotForOrders(t *testing.T) {
 	release := make(chan struct{})
-	target := newScripted(t, func(c *scriptedConn) {
+	target := newScriptedTarget(t, func(c *scriptedConn) {
 		for r := c.next(); r != nil; r = c.next() {
 			if r.URL.Path == "/docs" {
 				<-release
 			}
-			c.say(okAnswer)
+			c.respond(okAnswer)
 		}
 	})
 	p := newTestProxy(t, nil, target.address())
@@ -193,7 +190,7 @@
 			callWithinGrant(p, http.MethodPost, "/docs", "scan", result.HeaderDeadline, "60000")
 		})
 	}
-	until(func() bool { return target.requests.Load() > 0 && onlyPlace(p).line.Waiting() > 0 })
+	waitUntil(func() bool { return target.requests.Load() > 0 && onlyPlace(p).queue.Waiting() > 0 })
 	for range 10 {
 		wantResult(t, call(p, http.MethodPost, "/orders", "x", result.HeaderDeadline, "1000"), result.OK)
 	}
@@ -201,10 +198,9 @@
 	uploads.Wait()
 }
 
-// Callers ask for four times the node's grant and wait in its queue. The decider
-// would hear of it only with the next regular report; the node must tell that it
-// is short, and not once for each request that waits.
-func TestWaitForTheGrantIsTold(t *testing.T) {
+// Requests that wait for the grant must raise a shortage report, limited in
+// rate.
+func TestGrantShortageIsReported(t *testing.T) {
 	var told atomic.Int32
 	p, _ := newServingProxy(t, func(o *Options, m *model.Account) {
 		m.Excess = model.ExcessWait
@@ -217,8 +213,8 @@
 		waiting.Go(func() { call(p, http.MethodGet, "/stock", "") })
 	}
 	waiting.Wait()
-	most := int32(time.Since(began)/shortEvery) + 1
+	most := int32(time.Since(began)/shortageReportInterval) + 1
 	if n := told.Load(); n == 0 || n > most {
-		t.Errorf("told %d times, at most %d expected", n, most)
+		t.Errorf("%d reports, want 1 to %d", n, most)
 	}
 }
--- a/proxy/memory_test.go
+++ b/proxy/memory_test.go
@@ -17,28 +17,23 @@
 	uploadText  = "POST /orders HTTP/1.1\r\n" + requestHead + "Content-Length: 1048576\r\n\r\n"
 )
 
-// A hundred warehouses upload at once while the target stands still. The node
-// takes as many bodies as its memory allows and refuses the others at their
-// heads; the memory in use stays near the bound instead of growing with the
-// number of callers.
-//
-// The same with uploads that are sent on before they are whole: callers are
-// read from faster than the target takes what they send.
+// Memory must stay near its bound under many concurrent uploads to a blocked
+// target, buffered or streamed, with the excess refused by the request head.
 func TestMemoryUnderManyUploads(t *testing.T) {
 	t.Run("whole", func(t *testing.T) { testMemoryUnderUploads(t, 0) })
 	t.Run("early", func(t *testing.T) { testMemoryUnderUploads(t, time.Hour) })
 }
 
 func testMemoryUnderUploads(t *testing.T, sendTime time.Duration) {
-	target, release := newHeld(t)
+	target, release := newBlockedTarget(t)
 	small := func(o *Options, m *model.Account) {
 		o.MaxBufferedBytes = testMemory
 		m.Services[0].Deadline = maxDeadline
 		o.StreamAhead = time.Hour
 	}
 	p := newTestProxy(t, small, target.address())
-	p.current.Load().accounts[testAccount].services[testService].state.sending.observe(1, sendTime)
-	s := serveCallers(t, p)
+	p.current.Load().accounts[testAccount].services[testService].state.sendTime.observe(1, sendTime)
+	s := startIngress(t, p)
 	before := liveBytes()
 	body := make([]byte, uploadBytes)
 	var done sync.WaitGroup
@@ -58,7 +53,7 @@
 		}
 		refused++
 	}
-	until(func() bool { return p.InFlight() == uploads-refused-len(results) })
+	waitUntil(func() bool { return p.InFlight() == uploads-refused-len(results) })
 	held := liveBytes() - before
 	taken := uploads - refused - len(results)
 	t.Logf("%d uploads of 1 MiB taken, %d refused, %.1f MiB of heap in use", taken, uploads-taken, float64(held)/(1<<20))
@@ -67,8 +62,8 @@
 	}
 	release()
 	done.Wait()
-	// A body is freed just after its answer was taken.
-	until(func() bool { return p.bytes.Used() == 0 })
+	// The memory of a body is released just after its answer was received.
+	waitUntil(func() bool { return p.bytes.Used() == 0 })
 }
 
 func liveBytes() int64 {
--- a/proxy/metrics.go
+++ b/proxy/metrics.go
@@ -11,15 +11,15 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// latencyBuckets go from 0.5 ms to about 16 s, two for each doubling.
+// latencyBuckets range from 0.5 ms to about 16 s, two for each doubling.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 1.41421356, 31)
 
-// classMetrics are the metrics of one class of work of one service.
+// classMetrics are the metrics of one request class of one service.
 type classMetrics struct {
 	scope   tally.Scope
 	latency tally.Histogram
 	retries tally.Counter
-	// keptAnswers counts repeats that got the first answer.
+	// keptAnswers counts repeats that got the original answer.
 	keptAnswers tally.Counter
 	// results holds a tally.Counter for each result.Code seen.
 	results sync.Map
@@ -40,7 +40,7 @@
 	}
 }
 
-// record counts one request that ended.
+// record counts a finished request.
 func (m *classMetrics) record(code result.Code, took time.Duration) {
 	m.latency.RecordDuration(took)
 	m.counter(code).Inc(1)
--- a/proxy/metrics_test.go
+++ b/proxy/metrics_test.go
@@ -10,10 +10,9 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// An operator sees, for each account, service and class, how long requests took
-// and how each ended.
-func TestMetricsOfEachClass(t *testing.T) {
-	target := newScripted(t, answering(okAnswer))
+// Latencies and results must be counted by account, service and class.
+func TestMetricsPerClass(t *testing.T) {
+	target := newScriptedTarget(t, respondAlways(okAnswer))
 	scope := tally.NewTestScope("", nil)
 	p := newTestProxy(t, func(o *Options, _ *model.Account) { o.Scope = scope }, target.address())
 	wantResult(t, call(p, http.MethodGet, "/stock", ""), result.OK)
--- a/proxy/options.go
+++ b/proxy/options.go
@@ -27,27 +27,27 @@
 	DefaultStreamAhead     = 500 * time.Millisecond
 )
 
-// ErrNoNode tells that Options.Node is empty.
-var ErrNoNode = errors.New("proxy: the node has no name")
+// ErrNoNode is returned by New if Options.Node.VM is empty.
+var ErrNoNode = errors.New("proxy: Options.Node.VM is empty")
 
-// KeyRecorder records idempotency keys. Errors of Record: keys.ErrDuplicate,
-// keys.ErrUnavailable, keys.ErrUnknown.
+// KeyRecorder records idempotency keys. Record returns keys.ErrDuplicate,
+// keys.ErrUnavailable or keys.ErrUnknown.
 type KeyRecorder interface {
-	// Record returns the right to run the work of a key.
+	// Record claims the right to run the request of a key.
 	Record(ctx context.Context, key keys.Key) (keys.Claim, error)
-	// ClaimLocally returns the right to run the work of a key without a
-	// record, to one of the requests through this node.
+	// ClaimLocally claims a key without the store. It succeeds for one of the
+	// requests through this node.
 	ClaimLocally(key keys.Key) bool
-	// Release frees the key of a request that certainly did not run.
+	// Release releases the key of a request that certainly did not run.
 	Release(ctx context.Context, claim keys.Claim)
-	// Holder returns the VM that recorded a key, and false if that cannot be
-	// found out.
+	// Holder returns the VM that recorded a key; known is false if that cannot
+	// be determined.
 	Holder(ctx context.Context, key keys.Key) (vm string, known bool)
 }
 
 // FetchAnswerFunc calls Proxy.KeptAnswer on another node. It returns
 // result.DuplicateKey if the call fails.
-type FetchAnswerFunc func(ctx context.Context, vm string, key keys.Key, print kept.Print) (*kept.Answer, result.Code)
+type FetchAnswerFunc func(ctx context.Context, vm string, key keys.Key, fingerprint kept.Print) (*kept.Answer, result.Code)
 
 // Options configure a Proxy.
 type Options struct {
@@ -57,29 +57,29 @@
 	// Logger and Scope may be nil.
 	Logger *logrus.Logger
 	Scope  tally.Scope
-	// CallerRegion tells the region of a caller's address. Callers it does not
-	// know, or all if it is nil, count as of the node's own region.
+	// CallerRegion returns the region of a caller's address. Unknown callers,
+	// or all callers if it is nil, belong to the node's own region.
 	CallerRegion func(model.AccountName, netip.Addr) (model.RegionName, bool)
-	// Keys may be nil; requests with an idempotency key are then treated as
+	// Keys may be nil; requests with an idempotency key are then handled as
 	// during a store outage.
 	Keys KeyRecorder
-	// KeptAnswerBytes bounds the answers to requests with an idempotency key that
-	// are kept for repeats through this node, in sum; 0 keeps none.
+	// KeptAnswerBytes bounds the total size of the answers kept for repeats of
+	// requests with an idempotency key; 0 keeps none.
 	KeptAnswerBytes int64
 	// FetchAnswer may be nil; a repeat that arrives through another node than the
 	// original request is then refused as a duplicate.
 	FetchAnswer FetchAnswerFunc
-	// MaxBufferedBytes bounds the bodies held in memory in sum, 0 takes
+	// MaxBufferedBytes bounds the total size of the bodies in memory; 0 means
 	// DefaultBufferedBytes.
 	MaxBufferedBytes int64
-	// StreamOverBytes is the length over which a body is sent on before it is
-	// whole, 0 takes DefaultStreamOverBytes.
+	// StreamOverBytes is the length above which a body is forwarded before it
+	// has arrived in full; 0 means DefaultStreamOverBytes.
 	StreamOverBytes int64
-	// StreamAhead bounds how long before the last byte of such a body is
-	// expected its first ones are sent on, 0 takes DefaultStreamAhead; below 0
-	// bodies are sent on when they are whole.
+	// StreamAhead bounds how long before the expected arrival of its last byte
+	// such a body is forwarded; 0 means DefaultStreamAhead. If it is negative,
+	// bodies are forwarded only in full.
 	StreamAhead time.Duration
-	// MaxInFlight bounds the requests in hand, 0 takes DefaultMaxInFlight.
+	// MaxInFlight bounds the requests in flight; 0 means DefaultMaxInFlight.
 	MaxInFlight int64
 	// ConnectTimeout bounds opening a connection to a target.
 	ConnectTimeout time.Duration
@@ -87,13 +87,14 @@
 	// node's grant is used up. Calls are rate limited per service and place. It
 	// must not block and may be nil.
 	OnGrantShortage func(model.AccountName)
-	// Nodes returns how many entry nodes are live; nil reads as one.
+	// Nodes returns the number of live entry nodes; nil means one.
 	Nodes func() int
-	// Clock is what grants are compared with, and must be the clock that their
-	// expiry was read from; nil takes time.Now. A clock that goes on while the
-	// machine is suspended keeps expired grants from being used after it.
+	// Clock is compared with the expiry of grants and must be the clock that
+	// the expiry was read from; nil means time.Now. With a clock that advances
+	// while the machine is suspended, grants that expire meanwhile are not used
+	// after the resume.
 	Clock func() time.Time
-	// Dial opens connections to targets; nil takes TCP.
+	// Dial opens connections to targets; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
@@ -132,8 +133,8 @@
 	return o.Dial(ctx, address)
 }
 
-// keepAlive finds an idle connection whose target's VM has vanished without a
-// word, in about eight seconds; an order sent on it would end as unknown.
+// keepAlive detects within about eight seconds that the VM behind an idle
+// connection is gone; a request sent on it would end with an unknown outcome.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: time.Second, Count: 3}
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
--- a/proxy/overload_test.go
+++ b/proxy/overload_test.go
@@ -18,8 +18,8 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// pipeTarget is a target in simulated time: serve tells how long the next
-// request takes.
+// pipeTarget is a target in simulated time; serve returns the service time of
+// the next request.
 type pipeTarget struct {
 	mu    sync.Mutex
 	serve func() time.Duration
@@ -54,18 +54,19 @@
 	}
 }
 
-// loadResult counts how the requests of a scripted load ended.
-type loadResult struct {
+// loadCounts counts the outcomes of a generated load.
+type loadCounts struct {
 	ran, notRun, unknown int
-	// lateRefusals were told not run after more than half of their deadline.
+	// lateRefusals were refused as not run after more than half of their
+	// deadline.
 	lateRefusals int
 }
 
-// offer sends orders at random times, rate a second on average, for a time.
-func offer(p *Proxy, random *rand.Rand, rate float64, deadline, length time.Duration) loadResult {
+// sendOrders sends orders at random times, at the given mean rate per second.
+func sendOrders(p *Proxy, random *rand.Rand, rate float64, deadline, length time.Duration) loadCounts {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var sum loadResult
+	var sum loadCounts
 	for began := time.Now(); time.Since(began) < length; {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		all.Go(func() {
@@ -80,7 +81,7 @@
 	return sum
 }
 
-func (l *loadResult) count(h http.Header, late bool) {
+func (l *loadCounts) count(h http.Header, late bool) {
 	switch h.Get(result.HeaderOutcome) {
 	case result.Ran.String():
 		l.ran++
@@ -94,9 +95,9 @@
 	}
 }
 
-// overloaded returns a proxy with three targets of three slots whose account
-// wants excess to wait.
-func overloaded(t *testing.T, serve func() time.Duration) *Proxy {
+// newOverloadProxy returns a proxy with three targets of three slots whose
+// account queues excess traffic.
+func newOverloadProxy(t *testing.T, serve func() time.Duration) *Proxy {
 	target := &pipeTarget{serve: serve}
 	return newTestProxy(t, func(o *Options, m *model.Account) {
 		o.Dial = target.dial
@@ -104,28 +105,26 @@
 	}, "10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80")
 }
 
-// settle closes a proxy and waits until its targets have ended.
-func settle(p *Proxy) {
+// closeAndSettle closes a proxy and waits until its targets have ended.
+func closeAndSettle(p *Proxy) {
 	p.Close()
 	time.Sleep(time.Second)
 }
 
-// Orders come faster than the targets serve them, and one answer in ten takes
-// ten times as long. An order that waits for a slot until its deadline less the
-// mean latency is then sent with an even chance to be late, and its caller is
-// told "unknown" where an earlier refusal would have been "not run".
+// With a heavy latency tail, queued orders must be refused early as not run
+// instead of being sent so late that they end as unknown.
 func TestOrdersUnderOverloadAreNotSentTooLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 2))
-		p := overloaded(t, func() time.Duration {
+		p := newOverloadProxy(t, func() time.Duration {
 			if random.IntN(10) == 0 {
 				return 100 * time.Millisecond
 			}
 			return 10 * time.Millisecond
 		})
-		got := offer(p, rand.New(rand.NewPCG(3, 4)), 600, 250*time.Millisecond, 20*time.Second)
-		settle(p)
-		t.Logf("ran %d, not run %d, %d of them late, unknown %d", got.ran, got.notRun, got.lateRefusals, got.unknown)
+		got := sendOrders(p, rand.New(rand.NewPCG(3, 4)), 600, 250*time.Millisecond, 20*time.Second)
+		closeAndSettle(p)
+		t.Logf("ran %d, not run %d (%d late), unknown %d", got.ran, got.notRun, got.lateRefusals, got.unknown)
 		if all := got.ran + got.notRun + got.unknown; got.unknown*500 > all || got.lateRefusals*200 > all {
 			t.Errorf("%d unknown and %d late refusals of %d", got.unknown, got.lateRefusals, all)
 		}
@@ -136,23 +135,22 @@
 	})
 }
 
-// Orders come faster than the grant permits and then the grant is taken away.
-// Those for which there is no room learn it when they come or when the grant
-// goes, not near their deadlines.
-func TestOrdersOverTheGrantAreToldEarly(t *testing.T) {
+// Orders above the grant, or queued when it is withdrawn, must be refused at
+// once and not near their deadlines.
+func TestOrdersOverGrantAreRefusedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := overloaded(t, func() time.Duration { return 10 * time.Millisecond })
-		defer settle(p)
+		p := newOverloadProxy(t, func() time.Duration { return 10 * time.Millisecond })
+		defer closeAndSettle(p)
 		random := rand.New(rand.NewPCG(3, 4))
 		p.SetGrants(testGrants(2, 200*grant.PerRequest))
-		got := offer(p, random, 300, 250*time.Millisecond, 20*time.Second)
+		got := sendOrders(p, random, 300, 250*time.Millisecond, 20*time.Second)
 		if got.unknown+got.lateRefusals > 0 || got.ran < 3900 {
 			t.Errorf("%+v", got)
 		}
 		time.AfterFunc(100*time.Millisecond, func() { p.SetGrants(testGrants(3, 0)) })
-		got = offer(p, random, 300, 2*time.Second, time.Second)
+		got = sendOrders(p, random, 300, 2*time.Second, time.Second)
 		if got.unknown+got.lateRefusals > 0 || got.notRun == 0 {
-			t.Errorf("the grant is taken away: %+v", got)
+			t.Errorf("grant withdrawn: %+v", got)
 		}
 	})
 }
--- a/proxy/permission.go
+++ b/proxy/permission.go
@@ -6,28 +6,28 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// freshFor is how long after its admission a request may be sent on it.
-const freshFor = 100 * time.Millisecond
+// admissionTTL is how long an admission is valid without another check of the
+// grant.
+const admissionTTL = 100 * time.Millisecond
 
-// permission is what a request needs before it is sent: a slot at one target
-// and one request of the node's grant for the place.
+// permission allows a request to be sent. It holds a slot at one target and one
+// token of the node's grant for the place.
 type permission struct {
 	place  *placeState
 	target *target
 	index  int
 	set    *targetSet
 	class  model.Class
-	// admitted is when the grant was asked.
-	admitted time.Time
+	// admittedAt is when the grant was checked.
+	admittedAt time.Time
 }
 
-// stillGranted asks the grant once more if the request was admitted a while
-// ago. A process may be paused between admission and sending for so long that
-// its surplus has gone to another node; the request would come on top of that
-// node's. What the first admission took is not given back.
+// stillGranted checks the grant again if the request was admitted a while ago:
+// if the process was paused since then, the grant may have moved to another
+// node. The token of the first admission is not returned.
 func (p permission) stillGranted() bool {
 	now := p.place.proxy.options.Clock()
-	if now.Sub(p.admitted) < freshFor {
+	if now.Sub(p.admittedAt) < admissionTTL {
 		return true
 	}
 	ok, _ := p.place.bucket.Take(now)
@@ -40,10 +40,10 @@
 	if p.class == model.Bulk {
 		p.place.bulk.Add(-1)
 	}
-	p.place.line.Wake()
+	p.place.queue.Wake()
 }
 
-// cancel gives back the slot and the grant of a request that was not sent.
+// cancel returns the slot and the token of a request that was not sent.
 func (p permission) cancel() {
 	p.place.returnToken()
 	p.release()
--- a/proxy/permit.go
+++ b/proxy/permit.go
@@ -9,41 +9,40 @@
 	"github.com/yuccaroute/yuccaroute/proxy/queue"
 )
 
-// pacingTime is how long a request may wait for the node's grant although its
-// account wants excess refused. Requests do not come evenly; without it a node
-// with a small grant would refuse those that come close together while it is
-// below its grant.
-const pacingTime = 25 * time.Millisecond
+// maxPacingDelay is how long a request may wait for the node's grant although
+// its account refuses excess traffic. It absorbs bursts of requests below the
+// grant.
+const maxPacingDelay = 25 * time.Millisecond
 
-// permit gets the permission to send a request to a place, waiting for it as
-// far as the deadline and the account permit.
+// permit obtains a permission to send a request to a place and waits for it as
+// long as the deadline and the account allow.
 func (p *Proxy) permit(ctx context.Context, q *request, place *placeState) (permission, *refusal) {
-	if time.Until(q.deadline) <= place.wire() {
-		// The answer could not be back in time; an order sent all the same
-		// would end as unknown.
+	if time.Until(q.deadline) <= place.networkRTT() {
+		// The answer could not arrive in time, and a non-idempotent request
+		// would end with an unknown outcome.
 		return permission{}, refuse(result.DeadlineBeforeSend)
 	}
-	if place.line.Waiting() == 0 {
+	if place.queue.Waiting() == 0 {
 		got, short, _ := place.acquire(q.class, 0)
-		if short == shortNone {
+		if short == noShortage {
 			return got, nil
 		}
 	}
 	if !place.hasTarget() {
 		return permission{}, refuse(q.noTargetCode())
 	}
-	leaveBy := q.leaveBy(place)
+	latest := q.latestSend(place)
 	wait := place.bucket.Wait(p.options.Clock())
 	if wait > 0 {
-		place.tellShort(wait + place.line.Expected(q.class))
+		place.reportShortage(wait + place.queue.Expected(q.class))
 	}
-	if wait > 0 && !q.excessWaits() {
-		if wait > pacingTime {
-			return permission{}, refuseUntil(result.NoCapacity, place.comeBack(wait))
+	if wait > 0 && !q.queuesExcess() {
+		if wait > maxPacingDelay {
+			return permission{}, refuseWithRetryAfter(result.NoCapacity, place.retryAfter(wait))
 		}
-		leaveBy = earlier(leaveBy, time.Now().Add(pacingTime))
+		latest = earlier(latest, time.Now().Add(maxPacingDelay))
 	}
-	return p.wait(ctx, q, place, leaveBy)
+	return p.wait(ctx, q, place, latest)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -53,24 +52,24 @@
 	return b
 }
 
-// noTargetCode names why a place without a target was chosen: the plan may have
-// left it already and the move cap still sends requests there.
+// noTargetCode returns why a place without a target was chosen: the plan may
+// have left the place while the move cap still sends requests there.
 func (q *request) noTargetCode() result.Code {
-	if q.account.held {
+	if q.account.moveCapped {
 		return result.MoveHeld
 	}
 	return result.NoTarget
 }
 
-// leaveBy returns the last moment at which a request may be sent after a wait:
-// one sent later has too small a chance of an answer in time.
-func (q *request) leaveBy(place *placeState) time.Time {
-	return q.deadline.Add(-place.answerTime(time.Until(q.deadline)))
+// latestSend returns the latest time to send a request after a wait. If it is
+// sent later, an answer before the deadline is unlikely.
+func (q *request) latestSend(place *placeState) time.Time {
+	return q.deadline.Add(-place.reservedForAnswer(time.Until(q.deadline)))
 }
 
-// wait queues a request until leaveBy.
-func (p *Proxy) wait(ctx context.Context, q *request, place *placeState, leaveBy time.Time) (permission, *refusal) {
-	got, err := place.line.Acquire(ctx, q.class, leaveBy)
+// wait queues a request until the latest time to send it.
+func (p *Proxy) wait(ctx context.Context, q *request, place *placeState, latest time.Time) (permission, *refusal) {
+	got, err := place.queue.Acquire(ctx, q.class, latest)
 	if err == nil {
 		return got, nil
 	}
@@ -78,15 +77,16 @@
 		if !place.hasTarget() {
 			return permission{}, refuse(q.noTargetCode())
 		}
-		return permission{}, refuseUntil(place.lateCode(), place.comeBack(place.line.Expected(q.class)))
+		return permission{}, refuseWithRetryAfter(place.queueTimeoutCode(), place.retryAfter(place.queue.Expected(q.class)))
 	}
-	return permission{}, refuse(p.endedCode(ctx))
+	return permission{}, refuse(p.contextErrorCode(ctx))
 }
 
-// endedCode names why a request's context ended before anything was sent.
-func (p *Proxy) endedCode(ctx context.Context) result.Code {
+// contextErrorCode returns why a request's context ended before anything was
+// sent.
+func (p *Proxy) contextErrorCode(ctx context.Context) result.Code {
 	switch {
-	case p.base.Err() != nil:
+	case p.baseContext.Err() != nil:
 		return result.NodeLeaving
 	case errors.Is(ctx.Err(), context.Canceled):
 		return result.CallerGone
--- a/proxy/place_counts.go
+++ b/proxy/place_counts.go
@@ -8,34 +8,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the latencies in reports.
+// Range and precision of the latency histogram.
 const (
 	minLatencyMicros = 1
 	maxLatencyMicros = 600_000_000
 	latencyDigits    = 2
 )
 
-// placeCounts is what a node measures of one place between two reports.
+// placeCounts holds a node's measurements of one place between two reports.
 type placeCounts struct {
-	// tried counts attempts, those that found no connection included: a place
-	// whose targets take none gets nothing sent and fails all the same.
-	tried, refused, failed atomic.Uint64
+	// attempts includes failed connects, so that a place whose targets refuse
+	// connections is reported as failing.
+	attempts, refused, failed atomic.Uint64
 
 	mu sync.Mutex
-	// latencies is nil while nothing was answered between two reports: it takes
-	// 24 KB, and a node holds one for each service and place of every account.
+	// latencies is nil if nothing was answered between two reports, to save
+	// memory: a node has one for each service and place of every account.
 	latencies *hdrhistogram.Histogram
 }
 
-// answered counts an answer by the time it took.
-func (c *placeCounts) answered(took time.Duration) {
+func (c *placeCounts) recordLatency(took time.Duration) {
 	micros := min(max(took.Microseconds(), minLatencyMicros), maxLatencyMicros)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.latencies == nil {
 		c.latencies = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 	}
-	// The value is within the range, so that it is always recorded.
+	// The value is within the range, so recording it cannot fail.
 	_ = c.latencies.RecordValue(micros)
 }
 
--- a/proxy/place_state.go
+++ b/proxy/place_state.go
@@ -14,50 +14,49 @@
 	"github.com/yuccaroute/yuccaroute/proxy/queue"
 )
 
-// askAgain is when a line without a free slot asks its targets again: a target
-// that shed work is open again after a time, which wakes nobody.
-const askAgain = 10 * time.Millisecond
+// slotRetryInterval is how often a queue without a free slot checks its targets
+// again: a target that shed work recovers after a time without waking the
+// queue.
+const slotRetryInterval = 10 * time.Millisecond
 
-// slotPaceMargin is how many times slower than by the mean latencies the slots
-// are taken to become free. Latencies vary, and a request that is let wait by
-// the mean alone has an even chance of being refused at the end of its wait
-// instead of its beginning.
-const slotPaceMargin = 2
+// slotRateMargin divides the rate at which slots become free by the mean
+// latencies. Without a margin, half of the requests queued at the limit would
+// be refused at the end of their wait.
+const slotRateMargin = 2
 
-// placeState is one service in one place, over all snapshots.
+// placeState is the state of one service in one place. It outlives snapshots.
 type placeState struct {
 	proxy *Proxy
 	key   grant.Key
-	// field is the place's name as answers tell it.
-	field  []string
-	bucket *admission.Bucket
-	line   *queue.Line[permission]
-	// bulk counts bulk requests at targets.
-	bulk    atomic.Int32
-	targets atomic.Pointer[targetSet]
-	counts  placeCounts
-	// tail is how long slow answers of the place take.
-	tail     tailLatency
-	comeback comeback
-	// roundTrip is the network delay to the place and back, in nanoseconds.
+	// headerValue is the place's name as sent in response headers.
+	headerValue []string
+	bucket      *admission.Bucket
+	queue       *queue.Line[permission]
+	// bulk counts the bulk requests at targets.
+	bulk          atomic.Int32
+	targets       atomic.Pointer[targetSet]
+	counts        placeCounts
+	tailLatency   tailLatency
+	retrySchedule retrySchedule
+	// roundTrip is the network round-trip time to the place, in nanoseconds.
 	roundTrip atomic.Int64
-	// shortTold is when a shortage of the grant was told last, in the proxy's
-	// time; 0 is never.
-	shortTold atomic.Int64
+	// shortageReportedAt is when a grant shortage was last reported, as
+	// Proxy.now; 0 is never.
+	shortageReportedAt atomic.Int64
 
-	// The rest is guarded by the proxy's lock.
+	// Proxy.mu guards the rest.
 	service *model.Service
 	warming sync.WaitGroup
 }
 
 func newPlaceState(p *Proxy, key grant.Key) *placeState {
 	s := &placeState{
-		proxy:  p,
-		key:    key,
-		field:  []string{string(key.Place)},
-		bucket: admission.NewBucket(p.options.Clock()),
+		proxy:       p,
+		key:         key,
+		headerValue: []string{string(key.Place)},
+		bucket:      admission.NewBucket(p.options.Clock()),
 	}
-	s.line = queue.NewLine[permission](s)
+	s.queue = queue.NewLine[permission](s)
 	s.targets.Store(newTargetSet(nil))
 	return s
 }
@@ -65,7 +64,7 @@
 func (s *placeState) setService(service *model.Service, roundTrip time.Duration, now int64) {
 	s.service = service
 	s.roundTrip.Store(int64(roundTrip))
-	s.adapt(s.proxy.options.Nodes())
+	s.updateLimits(s.proxy.options.Nodes())
 }
 
 func (s *placeState) close() {
@@ -78,38 +77,38 @@
 // Acquire implements queue.Source.
 func (s *placeState) Acquire(class model.Class) (permission, bool, time.Duration) {
 	p, short, wait := s.acquire(class, 0)
-	return p, short == shortNone, wait
+	return p, short == noShortage, wait
 }
 
-// acquire takes a slot at a target that is not marked, and one request of the
-// grant. Without either it tells what is short and when to ask again.
+// acquire takes a slot at a target that is not in skip, and one token of the
+// grant. If either is missing, it returns which one and when to try again.
 func (s *placeState) acquire(class model.Class, skip balance.Skip) (permission, shortage, time.Duration) {
 	at := s.proxy.options.Clock()
 	now := s.proxy.now()
 	ts := s.targets.Load()
-	if class == model.Bulk && !s.bulkFits(ts, now) {
-		return permission{}, shortSlot, askAgain
+	if class == model.Bulk && !s.admitsBulk(ts, now) {
+		return permission{}, slotShortage, slotRetryInterval
 	}
 	index := ts.set.Acquire(now, rand.Uint64(), skip)
 	if index < 0 {
-		return permission{}, shortSlot, askAgain
+		return permission{}, slotShortage, slotRetryInterval
 	}
 	ok, wait := s.takeToken(class, at)
 	if !ok {
 		ts.set.Targets[index].Release()
-		return permission{}, shortGrant, wait
+		return permission{}, grantShortage, wait
 	}
 	if class == model.Bulk {
 		s.bulk.Add(1)
 	}
 	return permission{
-		place: s, target: ts.members[index], index: index, set: ts, class: class, admitted: at,
-	}, shortNone, 0
+		place: s, target: ts.members[index], index: index, set: ts, class: class, admittedAt: at,
+	}, noShortage, 0
 }
 
-// hasOther reports whether there is a target that may get new work and is not
-// marked.
-func (s *placeState) hasOther(skip balance.Skip) bool {
+// hasOtherTarget reports whether a target that is not in skip may get new
+// requests.
+func (s *placeState) hasOtherTarget(skip balance.Skip) bool {
 	now := s.proxy.now()
 	for i, t := range s.targets.Load().set.Targets {
 		if !skip.Has(i) && t.Usable(now) {
@@ -119,9 +118,9 @@
 	return false
 }
 
-// bulkFits reports whether a bulk request leaves a slot to the other classes:
+// admitsBulk reports whether a bulk request leaves a slot to the other classes:
 // an upload can hold its slot for minutes.
-func (s *placeState) bulkFits(ts *targetSet, now int64) bool {
+func (s *placeState) admitsBulk(ts *targetSet, now int64) bool {
 	slots, free := ts.set.Free(now)
 	if slots <= 1 {
 		return free > 0
@@ -141,55 +140,55 @@
 // Release implements queue.Source.
 func (s *placeState) Release(p permission) { p.cancel() }
 
-// Pace implements queue.Source: the lower of what the grant and what the slots
-// permit.
+// Pace implements queue.Source with the lower of the rates that the grant and
+// the slots allow.
 func (s *placeState) Pace() float64 {
 	rate := s.bucket.RPS(s.proxy.options.Clock())
-	return min(rate, s.slotPace()/slotPaceMargin)
+	return min(rate, s.slotRate()/slotRateMargin)
 }
 
 // Wait implements queue.Source.
 func (s *placeState) Wait() time.Duration { return s.bucket.Wait(s.proxy.options.Clock()) }
 
-// comeBack returns when a refused caller may come back, given how long a request
+// retryAfter returns when a refused caller may retry, given how long a request
 // would wait now.
-func (s *placeState) comeBack(wait time.Duration) time.Duration {
-	return s.comeback.next(time.Now(), wait, s.Pace())
+func (s *placeState) retryAfter(wait time.Duration) time.Duration {
+	return s.retrySchedule.next(time.Now(), wait, s.Pace())
 }
 
-// hasTarget reports whether any target may get new work.
+// hasTarget reports whether any target may get new requests.
 func (s *placeState) hasTarget() bool {
 	return s.targets.Load().set.Usable(s.proxy.now()) > 0
 }
 
-// lateCode names what made a waiting request late: the node's grant, or the
-// targets' slots.
-func (s *placeState) lateCode() result.Code {
-	if s.bucket.RPS(s.proxy.options.Clock()) < s.slotPace() {
+// queueTimeoutCode returns whether the node's grant or the targets' slots made
+// a queued request late.
+func (s *placeState) queueTimeoutCode() result.Code {
+	if s.bucket.RPS(s.proxy.options.Clock()) < s.slotRate() {
 		return result.NoCapacity
 	}
 	return result.QueueFull
 }
 
-// countRefusal counts requests that found no grant: only more of it helps them.
+// countRefusal counts requests that only a larger grant would have admitted.
 func (s *placeState) countRefusal(code result.Code) {
 	if code == result.NoCapacity {
 		s.counts.refused.Add(1)
 	}
 }
 
-func (s *placeState) slotPace() float64 {
+func (s *placeState) slotRate() float64 {
 	now := s.proxy.now()
-	pace := 0.0
+	rate := 0.0
 	for _, t := range s.targets.Load().set.Targets {
 		if t.Usable(now) {
-			pace += float64(t.Limit()) / t.Latency().Seconds()
+			rate += float64(t.Limit()) / t.Latency().Seconds()
 		}
 	}
-	return pace
+	return rate
 }
 
-// typicalLatency returns the mean latency of the targets in use, 0 without one.
+// typicalLatency returns the mean latency of the usable targets, 0 without one.
 func (s *placeState) typicalLatency() time.Duration {
 	now := s.proxy.now()
 	sum, n := time.Duration(0), 0
@@ -205,10 +204,9 @@
 	return sum / time.Duration(n)
 }
 
-// answerTime returns how much of the time left a request that waits needs for
-// its answer: the latency of slow answers, but at most half of what is left, or
-// requests with short deadlines could not wait at all for one slow answer in a
-// hundred.
-func (s *placeState) answerTime(left time.Duration) time.Duration {
-	return max(s.typicalLatency(), min(s.tail.get(), left/2))
+// reservedForAnswer returns how much of the time left a queued request reserves
+// for its answer. The tail latency counts up to half of the time left, so that
+// requests with short deadlines can still be queued.
+func (s *placeState) reservedForAnswer(left time.Duration) time.Duration {
+	return max(s.typicalLatency(), min(s.tailLatency.estimate(), left/2))
 }
--- a/proxy/place_targets.go
+++ b/proxy/place_targets.go
@@ -9,11 +9,11 @@
 	"github.com/yuccaroute/yuccaroute/proxy/pool"
 )
 
-// setTargets replaces the targets; what is known of those that stay is kept.
+// setTargets replaces the targets and keeps the state of those that remain.
 func (s *placeState) setTargets(list membership.List, key grant.Key, now int64) {
 	old := s.targets.Load()
 	var members []*target
-	for _, vm := range s.ownVMs(list, key) {
+	for _, vm := range s.selectVMs(list, key) {
 		t := old.find(vm.ID, vm.Address)
 		if t == nil {
 			t = s.newTarget(vm, now)
@@ -28,26 +28,26 @@
 			t.pool.Close()
 		}
 	}
-	s.line.Review()
+	s.queue.Review()
 }
 
-// ownVMs returns the VMs of the list that this node uses for the place: all, or
-// in a large fleet a part of them, so that the nodes together stay within the
-// connections of each. There is always one if the list has any.
-func (s *placeState) ownVMs(list membership.List, key grant.Key) []*membership.VM {
+// selectVMs returns the VMs that this node uses as targets: all of the place,
+// or in a large fleet a subset that keeps each VM within its connection limit.
+// It returns at least one if the list has any.
+func (s *placeState) selectVMs(list membership.List, key grant.Key) []*membership.VM {
 	node := s.proxy.options.Node.VM
 	share := subsetShare(s.service, s.proxy.options.Nodes())
 	var own []*membership.VM
 	var lowest *membership.VM
 	for i := range list.VMs {
 		vm := &list.VMs[i]
-		if !serves(vm, key) {
+		if !isTargetOf(vm, key) {
 			continue
 		}
 		if usesTarget(node, vm.ID, share) {
 			own = append(own, vm)
 		}
-		if lowest == nil || drawOf(node, vm.ID) < drawOf(node, lowest.ID) {
+		if lowest == nil || targetHash(node, vm.ID) < targetHash(node, lowest.ID) {
 			lowest = vm
 		}
 	}
@@ -57,46 +57,45 @@
 	return own
 }
 
-func serves(vm *membership.VM, key grant.Key) bool {
+func isTargetOf(vm *membership.VM, key grant.Key) bool {
 	return vm.Role == membership.RoleTarget && vm.Account == key.Account &&
 		vm.Service == key.Service && vm.Place == key.Place
 }
 
 func (s *placeState) newTarget(vm *membership.VM, now int64) *target {
 	nodes := s.proxy.options.Nodes()
-	limit := slotLimit(s.service.SlotsPerTarget, nodes, s.wire(), balance.FirstLatency)
+	limit := slotLimit(s.service.SlotsPerTarget, nodes, s.networkRTT(), balance.FirstLatency)
 	connections := connectionLimit(s.service.ConnectionsPerTarget, nodes)
 	t := &target{
-		id:      vm.ID,
-		address: vm.Address,
-		host:    vm.Address.String(),
-		field:   []string{vm.ID},
-		state:   balance.NewTarget(now, min(limit, connections)),
-		pool:    pool.New(vm.Address.String(), s.proxy.options.dial, connections),
+		id:          vm.ID,
+		address:     vm.Address,
+		host:        vm.Address.String(),
+		headerValue: []string{vm.ID},
+		state:       balance.NewTarget(now, min(limit, connections)),
+		pool:        pool.New(vm.Address.String(), s.proxy.options.dial, connections),
 	}
 	s.keepWarm(t, now)
 	return t
 }
 
-// keepWarm opens connections before a request needs them: one costs about a
-// millisecond and, to another region, two round trips.
+// keepWarm opens connections ahead of demand, so that requests do not wait for
+// the connection setup.
 func (s *placeState) keepWarm(t *target, now int64) {
-	if now < t.warmAt || t.state.Leaving() || t.pool.Fresh() >= warmedConnections {
+	if now < t.nextWarm || t.state.Leaving() || t.pool.Fresh() >= warmConnections {
 		return
 	}
-	t.warmAt = now + int64(warmPause)
-	s.warming.Go(func() { t.pool.Warm(s.proxy.base, warmedConnections) })
+	t.nextWarm = now + int64(warmInterval)
+	s.warming.Go(func() { t.pool.Warm(s.proxy.baseContext, warmConnections) })
 }
 
-// wire returns the network delay to the place and back.
-func (s *placeState) wire() time.Duration { return time.Duration(s.roundTrip.Load()) }
+func (s *placeState) networkRTT() time.Duration { return time.Duration(s.roundTrip.Load()) }
 
-// adapt fits the bounds of the targets to the latency measured and the number
-// of nodes.
-func (s *placeState) adapt(nodes int) {
+// updateLimits adjusts the limits of the targets to the measured latency and
+// the number of nodes.
+func (s *placeState) updateLimits(nodes int) {
 	connections := connectionLimit(s.service.ConnectionsPerTarget, nodes)
 	for _, t := range s.targets.Load().members {
-		limit := slotLimit(s.service.SlotsPerTarget, nodes, s.wire(), t.state.Latency())
+		limit := slotLimit(s.service.SlotsPerTarget, nodes, s.networkRTT(), t.state.Latency())
 		t.state.SetLimit(min(limit, connections))
 		t.pool.SetLimit(connections)
 		s.keepWarm(t, s.proxy.now())
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy carries callers' requests to targets. It keeps three promises
-// at any moment: a caller gets the whole answer to its own request or is told
-// so, "not run" is only said when it is certain, and non-idempotent work is
+// Package proxy carries callers' requests to targets. It guarantees that a
+// caller gets the complete answer to its own request or an error, that "not
+// run" is reported only if it is certain, and that a non-idempotent request is
 // never sent to a second target after it may have run at the first.
 package proxy
 
@@ -22,12 +22,11 @@
 	"github.com/yuccaroute/yuccaroute/proxy/kept"
 )
 
-// maintainEvery is how often shares are stepped towards the plan and the
-// bounds of targets are adapted.
-const maintainEvery = 100 * time.Millisecond
+// maintenanceInterval is how often shares are stepped towards the plan and the
+// limits of targets are updated.
+const maintenanceInterval = 100 * time.Millisecond
 
-// Proxy is the request path of one node. All methods are safe for use by
-// several goroutines.
+// Proxy is the request path of one node. It is safe for concurrent use.
 type Proxy struct {
 	options  Options
 	log      *logrus.Entry
@@ -37,27 +36,27 @@
 	inFlight *buffer.Budget
 	// kept is nil if no answers are kept.
 	kept *kept.Store
-	// parting tells that every answer ends its connection.
-	parting atomic.Bool
+	// keepAlivesDisabled makes every response close its caller connection.
+	keepAlivesDisabled atomic.Bool
 
-	// current is what requests read.
+	// current is the state that requests read.
 	current atomic.Pointer[snapshot]
 
-	// mu orders the setters; requests never take it.
+	// mu serializes the setters; requests never take it.
 	mu       sync.Mutex
 	accounts map[model.AccountName]*accountState
 	list     membership.List
 
-	// base ends when the proxy is closed; it ends requests in hand.
-	base     context.Context
-	endBase  context.CancelFunc
-	loopDone chan struct{}
-	bases    *bases
+	// baseContext is cancelled by Close and ends the requests in flight.
+	baseContext     context.Context
+	cancelBase      context.CancelFunc
+	maintenanceDone chan struct{}
+	parents         *parentContexts
 }
 
 var _ http.Handler = (*Proxy)(nil)
 
-// New returns a proxy that knows no account yet and refuses every request.
+// New returns a proxy that has no accounts yet and refuses every request.
 func New(o Options) (*Proxy, error) {
 	if o.Node.VM == "" {
 		return nil, ErrNoNode
@@ -65,16 +64,16 @@
 	o.setDefaults()
 	base, end := context.WithCancel(context.Background())
 	p := &Proxy{
-		options:  o,
-		log:      o.Logger.WithField("part", "proxy"),
-		start:    time.Now(),
-		bytes:    buffer.NewBudget(o.MaxBufferedBytes),
-		inFlight: buffer.NewBudget(o.MaxInFlight),
-		accounts: make(map[model.AccountName]*accountState),
-		base:     base,
-		endBase:  end,
-		loopDone: make(chan struct{}),
-		bases:    newBases(base),
+		options:         o,
+		log:             o.Logger.WithField("part", "proxy"),
+		start:           time.Now(),
+		bytes:           buffer.NewBudget(o.MaxBufferedBytes),
+		inFlight:        buffer.NewBudget(o.MaxInFlight),
+		accounts:        make(map[model.AccountName]*accountState),
+		baseContext:     base,
+		cancelBase:      end,
+		maintenanceDone: make(chan struct{}),
+		parents:         newParentContexts(base),
 	}
 	if o.KeptAnswerBytes > 0 {
 		p.kept = kept.New(kept.Options{Bytes: o.KeptAnswerBytes})
@@ -84,8 +83,8 @@
 	return p, nil
 }
 
-// SetAccount puts an account in force. One of a lower revision than the
-// account in force is ignored.
+// SetAccount applies the configuration of an account. A revision lower than the
+// current one is ignored.
 func (p *Proxy) SetAccount(a *model.Account) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,10 +95,10 @@
 	s.setAccount(a, p.now())
 	s.setTargets(p.list, p.now())
 	p.publish(s)
-	p.log.Infof("proxy: account %s in force at revision %d", a.Name, a.Revision)
+	p.log.Infof("proxy: applied account %s at revision %d", a.Name, a.Revision)
 }
 
-// SetPlan hands over a plan; the node's shares step towards it under the
+// SetPlan sets the plan that the node's shares are stepped towards under the
 // account's move cap. A plan that is not newer is ignored.
 func (p *Proxy) SetPlan(next *plan.Plan) {
 	p.mu.Lock()
@@ -109,8 +108,8 @@
 	p.publish(s)
 }
 
-// SetGrants puts a set in force and then returns: no request is admitted on an
-// older set afterwards. A set that is older than the one in force is ignored.
+// SetGrants applies a set of grants. Once it returns, no request is admitted on
+// an older set. A set older than the current one is ignored.
 func (p *Proxy) SetGrants(set *grant.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +117,7 @@
 	s.setGrants(set, p.options.Clock())
 }
 
-// SetTargets puts a reading of the VM list in force.
+// SetTargets applies a version of the VM list.
 func (p *Proxy) SetTargets(list membership.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,29 +127,29 @@
 	}
 }
 
-// InFlight returns the number of requests in hand.
+// InFlight returns the number of requests in flight.
 func (p *Proxy) InFlight() int { return p.gate.Open() }
 
 // DisableKeepAlives closes each caller connection after its next response;
 // requests are still served. Call it before Drain: a request sent on a connection
 // that the exiting node closes would end with an unknown outcome.
-func (p *Proxy) DisableKeepAlives() { p.parting.Store(true) }
+func (p *Proxy) DisableKeepAlives() { p.keepAlivesDisabled.Store(true) }
 
-// Drain refuses new requests as not run and returns when those in hand have
+// Drain refuses new requests as not run and returns when those in flight have
 // ended, or with the context's error.
 func (p *Proxy) Drain(ctx context.Context) error {
 	began := time.Now()
 	err := p.gate.Wait(ctx)
-	p.log.Infof("proxy: drained in %s, %d requests left", time.Since(began), p.gate.Open())
+	p.log.Infof("proxy: drained in %s, %d requests in flight", time.Since(began), p.gate.Open())
 	return err
 }
 
-// Close ends the requests in hand, each with its true outcome, and closes all
-// connections to targets. Call Drain first.
+// Close ends the requests in flight, each with its actual outcome, and closes
+// all connections to targets. Call Drain first.
 func (p *Proxy) Close() {
 	p.gate.Close()
-	p.endBase()
-	<-p.loopDone
+	p.cancelBase()
+	<-p.maintenanceDone
 	_ = p.gate.Wait(context.Background())
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,10 +158,12 @@
 	}
 }
 
-// now returns nanoseconds on the monotonic clock since the proxy began.
+// now returns the nanoseconds on the monotonic clock since the proxy was
+// created.
 func (p *Proxy) now() int64 { return int64(time.Since(p.start)) }
 
-// accountState is called with the lock held.
+// accountState returns the state of an account and creates it if needed. p.mu
+// must be held.
 func (p *Proxy) accountState(name model.AccountName) *accountState {
 	s := p.accounts[name]
 	if s == nil {
@@ -172,7 +173,8 @@
 	return s
 }
 
-// publish is called with the lock held.
+// publish replaces the account's view in the current snapshot. p.mu must be
+// held.
 func (p *Proxy) publish(s *accountState) {
 	if s.account == nil {
 		return
@@ -180,14 +182,13 @@
 	p.current.Store(p.current.Load().with(s.view()))
 }
 
-// maintain steps shares and adapts bounds until the proxy is closed.
 func (p *Proxy) maintain() {
-	defer close(p.loopDone)
-	tick := time.NewTicker(maintainEvery)
+	defer close(p.maintenanceDone)
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-p.base.Done():
+		case <-p.baseContext.Done():
 			return
 		case <-tick.C:
 			p.maintainOnce()
@@ -199,10 +200,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.accounts {
-		s.adapt()
-		if s.held && s.advance(nil) {
+		s.updateLimits()
+		if s.moveCapped && s.advance(nil) {
 			p.publish(s)
 		}
-		s.refreshLeft()
+		s.updateRelocationBudgets()
 	}
 }
--- a/proxy/refusal.go
+++ b/proxy/refusal.go
@@ -6,27 +6,28 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// defaultRetryAfter is told when nothing better is known.
+// defaultRetryAfter applies if there is no better estimate.
 const defaultRetryAfter = 200 * time.Millisecond
 
-// retryAfterOf returns when a caller may come back after a refusal for which
-// nothing better is known. A held move goes on with the next step.
-func retryAfterOf(code result.Code) time.Duration {
+// defaultRetryAfterFor returns the Retry-After of a refusal without an
+// estimate. Traffic held back by the move cap can move with the next
+// maintenance step.
+func defaultRetryAfterFor(code result.Code) time.Duration {
 	if code == result.MoveHeld {
-		return result.Spread(maintainEvery)
+		return result.Spread(maintenanceInterval)
 	}
 	return result.Spread(defaultRetryAfter)
 }
 
-// refusal is the end of a request without a target's answer.
+// refusal is the result of a request that gets no answer of a target.
 type refusal struct {
 	code result.Code
-	// retryAfter is when the caller may come back, 0 for retryAfterOf the code.
+	// retryAfter is when the caller may retry, 0 for the default of the code.
 	retryAfter time.Duration
 }
 
 func refuse(code result.Code) *refusal { return &refusal{code: code} }
 
-func refuseUntil(code result.Code, after time.Duration) *refusal {
+func refuseWithRetryAfter(code result.Code, after time.Duration) *refusal {
 	return &refusal{code: code, retryAfter: after}
 }
--- a/proxy/refusal_test.go
+++ b/proxy/refusal_test.go
@@ -12,29 +12,28 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// A request that will not be served is refused in the moment in which that is
-// known, whatever its deadline, as not run and with the time to come back. A
-// caller that is held until near its deadline can go nowhere else any more.
-func TestRefusalsAreGivenAtOnce(t *testing.T) {
+// A request that will not be served must be refused at once as not run, with a
+// Retry-After, whatever its deadline.
+func TestRefusalsAreImmediate(t *testing.T) {
 	cases := []struct {
 		want   result.Code
 		change func(*Options, *model.Account)
-		spoil  func(p *Proxy)
+		setup  func(p *Proxy)
 	}{
-		{want: result.NoCapacity, spoil: func(p *Proxy) { p.SetGrants(testGrants(2, 0)) }},
-		{want: result.NoCapacity, spoil: func(p *Proxy) { p.SetGrants(testGrants(2, 0)) },
+		{want: result.NoCapacity, setup: func(p *Proxy) { p.SetGrants(testGrants(2, 0)) }},
+		{want: result.NoCapacity, setup: func(p *Proxy) { p.SetGrants(testGrants(2, 0)) },
 			change: func(_ *Options, m *model.Account) { m.Excess = model.ExcessWait }},
 		{want: result.QueueFull, change: func(o *Options, _ *model.Account) { o.MaxInFlight = 1 },
-			spoil: func(p *Proxy) { p.inFlight.NewShare().Take(1) }},
+			setup: func(p *Proxy) { p.inFlight.NewShare().Take(1) }},
 		{want: result.BufferFull, change: func(o *Options, _ *model.Account) { o.MaxBufferedBytes = 1 }},
-		{want: result.NodeLeaving, spoil: func(p *Proxy) { p.gate.Close() }},
-		{want: result.NoTarget, spoil: func(p *Proxy) { p.SetTargets(listOf()) }},
-		{want: result.MoveHeld, spoil: moveWithoutTargets,
+		{want: result.NodeLeaving, setup: func(p *Proxy) { p.gate.Close() }},
+		{want: result.NoTarget, setup: func(p *Proxy) { p.SetTargets(listOf()) }},
+		{want: result.MoveHeld, setup: moveWithoutTargets,
 			change: func(_ *Options, m *model.Account) {
 				m.Places = append(m.Places, model.Place{Name: "kr-busan-a", Region: testRegion})
 				m.Moves = model.MoveLimits{Share: 0, Window: time.Hour}
 			}},
-		{want: result.NoPlan, spoil: func(p *Proxy) {
+		{want: result.NoPlan, setup: func(p *Proxy) {
 			empty := testPlan()
 			empty.Sequence, empty.Flows = 2, []plan.Flow{}
 			p.SetPlan(empty)
@@ -50,26 +49,26 @@
 						c.change(o, m)
 					}
 				}, "10.0.0.1:80")
-				defer settle(p)
-				if c.spoil != nil {
-					c.spoil(p)
+				defer closeAndSettle(p)
+				if c.setup != nil {
+					c.setup(p)
 				}
 				came := time.Now()
 				w := call(p, http.MethodPost, "/orders", "an order", result.HeaderDeadline, "5000")
 				wantResult(t, w, c.want)
 				if took := time.Since(came); took != 0 {
-					t.Errorf("told after %s", took)
+					t.Errorf("refused after %s", took)
 				}
 				if result.RetryAfter(w.Header()) <= 0 || w.Header().Get("Retry-After") == "" {
-					t.Errorf("not told when to come back: %v", w.Header())
+					t.Errorf("no Retry-After: %v", w.Header())
 				}
 			})
 		})
 	}
 }
 
-// moveWithoutTargets puts a plan in force that has left a place, and takes the
-// targets away there.
+// moveWithoutTargets applies a plan that leaves a place, and removes the
+// targets there.
 func moveWithoutTargets(p *Proxy) {
 	next := testPlan()
 	next.Sequence = 2
@@ -78,8 +77,7 @@
 	p.SetTargets(listOf())
 }
 
-// All targets leave while an order waits for a slot. Its caller learns at once
-// that it was not run, not when its deadline is near.
+// A queued order must be refused as soon as all targets have left.
 func TestWaitingOrderIsRefusedWhenTargetsLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		target := &pipeTarget{serve: func() time.Duration { return time.Minute }}
@@ -95,17 +93,17 @@
 		came := time.Now()
 		wantResult(t, call(p, http.MethodPost, "/orders", "x", result.HeaderDeadline, "20000"), result.NoTarget)
 		if took := time.Since(came); took != time.Second {
-			t.Errorf("told after %s", took)
+			t.Errorf("refused after %s", took)
 		}
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// Many callers are refused in the same moment. They are told times that bring
-// them back one after the other at the pace of the grant, not all at once.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+// Callers refused together must be told to return one after the other at the
+// rate of the grant.
+func TestRetryAfterSpreadsCallers(t *testing.T) {
 	const callers, rate = 80, 100.0
-	var c comeback
+	var c retrySchedule
 	now := time.Now()
 	var back []time.Duration
 	for range callers {
@@ -121,17 +119,17 @@
 			}
 		}
 		if n > 2+int(rate*window.Seconds()) {
-			t.Fatalf("%d come back within %s at a pace of %g a second", n, window, rate)
+			t.Fatalf("%d callers return within %s at a rate of %g per second", n, window, rate)
 		}
 	}
-	if back[0] < 10*time.Millisecond || back[callers-1] > maxComeback {
-		t.Errorf("from %s to %s", back[0], back[callers-1])
+	if back[0] < 10*time.Millisecond || back[callers-1] > maxRetryAfter {
+		t.Errorf("Retry-After from %s to %s", back[0], back[callers-1])
 	}
 }
 
-// One answer in a hundred is slow. The estimate is above the others and not far
-// above the slow ones; answers cut off by their deadlines raise it too.
-func TestTailLatencySettlesAtTheSlowAnswers(t *testing.T) {
+// The estimate must settle between the typical and the slow answers, and rise
+// with answers that were cut off by their deadlines.
+func TestTailLatencyConverges(t *testing.T) {
 	var l tailLatency
 	for i := range 20_000 {
 		took := time.Duration(1+i%50) * time.Millisecond
@@ -140,13 +138,13 @@
 		}
 		l.observe(took)
 	}
-	if got := l.get(); got < 50*time.Millisecond || got > 400*time.Millisecond {
+	if got := l.estimate(); got < 50*time.Millisecond || got > 400*time.Millisecond {
 		t.Errorf("%s", got)
 	}
 	for range 50 {
-		l.cutOff(2 * time.Second)
+		l.observeTimeout(2 * time.Second)
 	}
-	if got := l.get(); got != 2*time.Second {
-		t.Errorf("%s after answers that took over 2s", got)
+	if got := l.estimate(); got != 2*time.Second {
+		t.Errorf("estimate %s after timeouts of 2s", got)
 	}
 }
--- a/proxy/elsewhere_test.go
+++ b/proxy/relocation_test.go
@@ -14,10 +14,10 @@
 
 const otherPlace = "kr-busan-a"
 
-// newTwoPlaces returns a proxy whose plan goes from one place that takes no
-// connection to halves of it and of one that serves, as far as the cap permits.
-func newTwoPlaces(t *testing.T, share float64) *Proxy {
-	good := newScripted(t, answering(okAnswer))
+// newTwoPlaceProxy returns a proxy whose plan moves half of the traffic from a
+// place that refuses connections to one that serves, as far as the cap permits.
+func newTwoPlaceProxy(t *testing.T, share float64) *Proxy {
+	good := newScriptedTarget(t, respondAlways(okAnswer))
 	p := newTestProxy(t, func(_ *Options, m *model.Account) {
 		m.Moves = model.MoveLimits{Share: share, Window: time.Hour}
 		m.Places = append(m.Places, model.Place{Name: otherPlace, Region: testRegion})
@@ -38,14 +38,12 @@
 	return p
 }
 
-// A rack takes no connections. Farmers whose requests are refused send them again
-// at once, and each new choice would bring some to other places, whose caches are
-// cold for them: more than the cap moves, though the plan keeps it. What the plan
-// has left of the cap may go elsewhere, the rest is refused again.
-func TestRepeatsElsewhereStayWithinTheCap(t *testing.T) {
+// Retries of requests that a failing place refused must not move more traffic
+// to other places than the plan has left of the move cap.
+func TestRelocatedRetriesStayWithinMoveCap(t *testing.T) {
 	const first = 200
 	for _, c := range []struct{ share, left float64 }{{0.1, 0}, {0.6, 0.1}} {
-		p := newTwoPlaces(t, c.share)
+		p := newTwoPlaceProxy(t, c.share)
 		refused, elsewhere := 0, 0
 		for range first {
 			w := callWithinGrant(p, http.MethodGet, "/stock", "")
@@ -62,8 +60,8 @@
 			}
 			wantResult(t, w, result.ConnectFailed)
 		}
-		if most := int(c.left*first) + maxSavedElsewhere; elsewhere > most || elsewhere < int(c.left*first)/2 {
-			t.Errorf("cap %v: %d of %d refused requests ran elsewhere, want at most %d", c.share, elsewhere, refused, most)
+		if most := int(c.left*first) + maxSavedRelocations; elsewhere > most || elsewhere < int(c.left*first)/2 {
+			t.Errorf("cap %v: %d of %d refused requests ran in another place, want at most %d", c.share, elsewhere, refused, most)
 		}
 	}
 }
--- a/proxy/remove.go
+++ b/proxy/remove.go
@@ -6,9 +6,9 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// RemoveAccount takes an account out of force: new requests for it are refused
-// as not run; those in hand go on. Its limits are kept, so that an account that
-// returns does not start with full buckets.
+// RemoveAccount removes an account. New requests for it are refused as not run;
+// those in flight continue. Its buckets are kept, so that an account that is
+// added again does not start with full ones.
 func (p *Proxy) RemoveAccount(name model.AccountName) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/proxy/repeat.go
+++ b/proxy/repeat.go
@@ -8,86 +8,82 @@
 	"github.com/yuccaroute/yuccaroute/proxy/keys"
 )
 
-// runOnce runs a request with a key unless one with the same key ran or is in
-// hand at this node. A repeat takes no place, grant, slot or store call.
-func (p *Proxy) runOnce(ctx context.Context, q *request) ending {
-	print := kept.PrintOf(&q.out, q.remote)
+// runOnce runs a request with a key unless one with the same key has run or is
+// in flight on this node. A repeat takes no grant, slot or store call.
+func (p *Proxy) runOnce(ctx context.Context, q *request) response {
+	fingerprint := kept.PrintOf(&q.out, q.remote)
 	for {
-		entry, first := p.kept.Begin(q.keyOf(), print)
+		entry, first := p.kept.Begin(q.idempotencyKey(), fingerprint)
 		if first {
-			end := p.run(ctx, q)
-			if !q.claimed && end.duplicate() {
-				end = p.ask(ctx, q, print, end)
+			resp := p.run(ctx, q)
+			if !q.claimed && resp.isDuplicate() {
+				resp = p.fetchPeerAnswer(ctx, q, fingerprint, resp)
 			}
-			p.keep(entry, q, end)
-			return end
+			p.finishEntry(entry, q, resp)
+			return resp
 		}
-		if end, known := p.repeat(ctx, q, entry, print); known {
-			return end
+		if resp, known := p.awaitOriginal(ctx, q, entry, fingerprint); known {
+			return resp
 		}
 	}
 }
 
-// repeat returns the end of a request whose key another one has, unless that
-// one turns out not to have run.
-func (p *Proxy) repeat(ctx context.Context, q *request, entry *kept.Entry, print kept.Print) (end ending, known bool) {
-	answer, code, dropped := answerFrom(ctx, entry, print)
+// awaitOriginal returns the response to a repeat; known is false if the
+// original request did not run.
+func (p *Proxy) awaitOriginal(ctx context.Context, q *request, entry *kept.Entry, fingerprint kept.Print) (resp response, known bool) {
+	answer, code, dropped := awaitAnswer(ctx, entry, fingerprint)
 	if dropped {
-		return ending{}, false
+		return response{}, false
 	}
 	if answer == nil {
-		return refused(refuse(code)), true
+		return refusalResponse(refuse(code)), true
 	}
-	return p.repeated(q, answer), true
+	return p.replay(q, answer), true
 }
 
-// answerFrom returns the answer of an entry's request to one with a print, or the
-// code to refuse it with; dropped tells that the entry's did not run.
+// awaitAnswer waits for the request of an entry and returns its answer, or the
+// code to refuse the repeat with. dropped reports that the entry's request did
+// not run.
 //
-// Guard against a foreign answer: it shows as a dealer who reads the
-// confirmation of another order, or of another dealer who chose the same key.
-// The answer is given only for the same method, path, query and body, from the
-// same address and with the same fields; no target could tell the two apart.
-//
-// It waits for a request in hand because that one's answer is on its way; if
-// its own deadline comes first, or the other ends without an answer, it is told
-// that at once.
-func answerFrom(ctx context.Context, entry *kept.Entry, print kept.Print) (answer *kept.Answer, code result.Code, dropped bool) {
-	if entry.Print.Work != print.Work {
+// The answer is returned only for the same method, path, query and body from
+// the same address with the same headers, so that nobody gets the answer to
+// another request by using its key.
+func awaitAnswer(ctx context.Context, entry *kept.Entry, fingerprint kept.Print) (answer *kept.Answer, code result.Code, dropped bool) {
+	if entry.Print.Work != fingerprint.Work {
 		return nil, result.KeyReused, false
 	}
-	if entry.Print.Sender != print.Sender {
+	if entry.Print.Sender != fingerprint.Sender {
 		return nil, result.DuplicateKey, false
 	}
 	answer, dropped, err := entry.Wait(ctx)
 	if err != nil || answer == nil {
-		// Never "not run" after an error: the other request may run.
+		// The outcome is not "not run": the original request may still run.
 		return nil, result.DuplicateKey, dropped
 	}
 	return answer, result.OK, false
 }
 
-// repeated is the end of a request that gets the answer to an earlier sending.
-func (p *Proxy) repeated(q *request, answer *kept.Answer) ending {
+// replay returns the original answer as the response to a repeat.
+func (p *Proxy) replay(q *request, answer *kept.Answer) response {
 	q.service.state.metrics[q.class].keptAnswers.Inc(1)
-	return ending{answer: &answer.Answer, place: answer.Place, target: answer.Target}
+	return response{answer: &answer.Answer, place: answer.Place, target: answer.Target}
 }
 
-// keep ends the entry of a request. One that did not get the right to run is
-// not the request that its key stands for: nobody may be compared with it, and a
-// repeat of one whose caller left while it waited must not be refused.
-func (p *Proxy) keep(entry *kept.Entry, q *request, end ending) {
+// finishEntry completes the entry of a request. The entry of a request that did
+// not claim its key or did not run is dropped, so that it neither refuses a
+// repeat nor is compared with one.
+func (p *Proxy) finishEntry(entry *kept.Entry, q *request, resp response) {
 	switch {
-	case end.answer != nil:
-		p.kept.End(entry, &kept.Answer{Answer: *end.answer, Place: end.place, Target: end.target})
-	case !q.claimed || isNotRun(end.refusal.code):
+	case resp.answer != nil:
+		p.kept.End(entry, &kept.Answer{Answer: *resp.answer, Place: resp.place, Target: resp.target})
+	case !q.claimed || isNotRun(resp.refusal.code):
 		p.kept.Drop(entry)
 	default:
 		p.kept.End(entry, nil)
 	}
 }
 
-func (q *request) keyOf() keys.Key {
+func (q *request) idempotencyKey() keys.Key {
 	return keys.Key{
 		Account: q.account.account.Name,
 		Service: q.service.service.Name,
--- a/proxy/reports.go
+++ b/proxy/reports.go
@@ -9,7 +9,7 @@
 	"github.com/yuccaroute/yuccaroute/api/observe"
 )
 
-// Reports returns, for each account, what was measured since the last call.
+// Reports returns the measurements of each account since the last call.
 // Interval is the time since then.
 func (p *Proxy) Reports(interval time.Duration) []observe.Report {
 	p.mu.Lock()
@@ -70,7 +70,7 @@
 }
 
 func (s *placeState) load(interval time.Duration) observe.PlaceLoad {
-	tried := s.counts.tried.Swap(0)
+	tried := s.counts.attempts.Swap(0)
 	failed := s.counts.failed.Swap(0)
 	ts := s.targets.Load()
 	l := observe.PlaceLoad{
--- a/proxy/reports_test.go
+++ b/proxy/reports_test.go
@@ -21,8 +21,8 @@
 	return reports[0].Places[0]
 }
 
-// What a node reports is what happened since its last report.
-func TestReportsCountSinceTheLast(t *testing.T) {
+// A report must cover only the time since the previous one.
+func TestReportsCoverTimeSinceLastReport(t *testing.T) {
 	p, _ := newServingProxy(t, nil)
 	wantResult(t, callWithinGrant(p, http.MethodGet, "/stock", ""), result.OK)
 	p.Reports(time.Second)
@@ -46,9 +46,9 @@
 	}
 }
 
-// The VMs of a place are gone and refuse connections. Nothing is sent, and the
-// decider, which weighs failures by the rate, must still see that all fails.
-func TestPlaceThatTakesNoConnectionsFails(t *testing.T) {
+// A place whose targets refuse connections must be reported as failing,
+// although nothing is sent.
+func TestRefusedConnectionsCountAsFailures(t *testing.T) {
 	p := newTestProxy(t, nil, refusingAddress(t), refusingAddress(t))
 	for range 4 {
 		call(p, http.MethodPost, "/orders", "x")
@@ -58,18 +58,18 @@
 	}
 }
 
-// A process is paused between the admission of an order and its sending. Its
-// grant has gone to another node meanwhile; the order must not be sent.
-func TestAdmissionBeforeAPauseIsAskedAgain(t *testing.T) {
+// After a pause between admission and sending, a request must not be sent on a
+// grant that has been withdrawn meanwhile.
+func TestStaleAdmissionIsCheckedAgain(t *testing.T) {
 	p, target := newServingProxy(t, nil)
 	wantResult(t, callWithinGrant(p, http.MethodPost, "/orders", "x"), result.OK)
 	admitted, short, _ := onlyPlace(p).acquire(0, 0)
-	if short != shortNone {
-		t.Fatal("no permission")
+	if short != noShortage {
+		t.Fatal("no permission acquired")
 	}
 	p.SetGrants(testGrants(2, 0))
-	admitted.admitted = admitted.admitted.Add(-freshFor)
-	q := lookUp(p)
+	admitted.admittedAt = admitted.admittedAt.Add(-admissionTTL)
+	q := newLookUp(p)
 	a := p.attempt(t.Context(), q, admitted, q.deadline)
 	if a.code != result.NoCapacity || target.requests.Load() != 1 {
 		t.Fatalf("code %s, %d requests sent", a.code, target.requests.Load())
@@ -79,30 +79,28 @@
 	}
 }
 
-// The cap holds a node's shares back from a newer plan. The decider must hear
-// that the node still sends by the older one: its callers move by the distance
-// when they go to another node.
-func TestReportNamesThePlanReached(t *testing.T) {
+// While the move cap holds the shares back from a newer plan, reports must name
+// the plan that the node has reached.
+func TestReportNamesPlanInEffect(t *testing.T) {
 	p, _ := newServingProxy(t, nil)
 	next := testPlan()
 	next.Sequence = 2
 	next.Flows[0].Shares = []plan.Share{{Place: "elsewhere", PPM: plan.Whole}}
 	p.SetPlan(next)
 	if r := p.Reports(time.Second)[0]; r.PlanEpoch != 1 || r.PlanSequence != 1 {
-		t.Fatalf("reports plan %d.%d, the shares are held back at 1.1", r.PlanEpoch, r.PlanSequence)
+		t.Fatalf("report names plan %d.%d, want 1.1", r.PlanEpoch, r.PlanSequence)
 	}
 	same := testPlan()
 	same.Sequence = 3
 	p.SetPlan(same)
 	if r := p.Reports(time.Second)[0]; r.PlanSequence != 3 {
-		t.Fatalf("reports plan %d, the shares are those of 3", r.PlanSequence)
+		t.Fatalf("report names plan sequence %d, want 3", r.PlanSequence)
 	}
 }
 
-// A VM is suspended with a surplus in force and resumed an hour later. The
-// clock behind time.Now stood still, and the surplus has long been given to
-// other nodes; no request may be sent on it, though no timer has run yet.
-func TestSurplusIsNotUsedAfterASuspension(t *testing.T) {
+// After a suspend, during which the clock of time.Now stands still, an expired
+// surplus must not be used.
+func TestSurplusIsNotUsedAfterSuspend(t *testing.T) {
 	var suspended atomic.Int64
 	p, target := newServingProxy(t, func(o *Options, _ *model.Account) {
 		o.Clock = func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
--- a/proxy/request.go
+++ b/proxy/request.go
@@ -14,7 +14,7 @@
 	"github.com/yuccaroute/yuccaroute/proxy/keys"
 )
 
-// Bounds of what callers may ask.
+// Limits and defaults of caller requests.
 const (
 	defaultDeadline     = 30 * time.Second
 	maxDeadline         = time.Hour
@@ -23,31 +23,35 @@
 	defaultAnswerBytes  = 16 << 20
 )
 
-// request is one caller's request after it was read and checked.
+// request is a caller's request after it was parsed and validated.
 type request struct {
 	account *accountView
 	service *serviceView
 	class   model.Class
 	region  model.RegionName
 	flow    *flowView
-	// place is the one that the request falls to, nil for none.
+	// place is the place chosen for the request, nil if there is none.
 	place    *placeState
 	from     caller
 	arrived  time.Time
 	deadline time.Time
 	key      string
-	// claimed tells that the request got the right to run the work of its key.
+	// claimed is set once the request may run: it has claimed its key or has
+	// none.
 	claimed bool
 	// remote is the caller's address.
 	remote string
 	out    forward.Request
-	// coming is the body if it was not whole when the request came, else nil.
-	coming *ingress.Body
-	// reserved is what the request itself took of the account's memory.
+	// partialBody is the body if it was incomplete when the request arrived,
+	// else nil.
+	partialBody *ingress.Body
+	// reserved is the part of the account's memory that the request itself
+	// took.
 	reserved int64
 }
 
-// parse checks a request and finds what it is for. It does not read the body.
+// parse validates a request and resolves its account, service and place. It
+// does not read the body.
 func (p *Proxy) parse(r *http.Request, from caller) (*request, *refusal) {
 	q := &request{from: from, arrived: from.Began()}
 	if !validMethod(r.Method) || r.URL == nil {
@@ -72,7 +76,7 @@
 		q.service.state.offeredBy(q.region).Add(1)
 		return q, refuse(result.NoPlan)
 	}
-	q.findPlace(r.Header)
+	q.choosePlace(r.Header)
 	return q, nil
 }
 
@@ -105,7 +109,7 @@
 	return nil
 }
 
-// deadlineOf returns the time a caller gives a request, or the service's.
+// deadlineOf returns the time that the caller allows, or the service's default.
 func deadlineOf(h http.Header, service *model.Service) (time.Duration, bool) {
 	text, ok := single(h, result.HeaderDeadline)
 	if !ok {
@@ -135,8 +139,8 @@
 	return nil
 }
 
-// single returns a field that may be there at most once. Two values would let
-// the entry VM and the target each believe another one.
+// single returns a header that may occur at most once. With two values, the
+// entry VM and the target might each use a different one.
 func single(h http.Header, name string) (string, bool) {
 	values := h[name]
 	if len(values) == 0 {
@@ -158,10 +162,10 @@
 	return true
 }
 
-// classOf returns the class of a request. A path that a target may read in
-// another way than the routes do ("/stock/../orders", "/%6frders") counts as
-// non-idempotent: it could be an order under the name of a look-up, and would
-// be sent again.
+// classOf returns the class of a request. A path that a target may normalize in
+// another way ("/stock/../orders", "/%6frders") counts as non-idempotent,
+// because a non-idempotent request under the path of an idempotent one would be
+// retried.
 func classOf(service *model.Service, r *http.Request) model.Class {
 	if !plainPath(r.URL.Path) || r.URL.RawPath != "" {
 		return model.NonIdempotent
--- a/proxy/reserve.go
+++ b/proxy/reserve.go
@@ -8,23 +8,22 @@
 	"github.com/yuccaroute/yuccaroute/proxy/ingress"
 )
 
-// otherBodyBytes bounds bodies of requests for no known service: such a
-// request is refused, or is for another handler of the node.
-const otherBodyBytes = 64 << 10
+// maxUnroutedBodyBytes bounds the bodies of requests for no known service,
+// which are refused or are for another handler of the node.
+const maxUnroutedBodyBytes = 64 << 10
 
 var _ ingress.Bodies = (*Proxy)(nil)
 
-// ReserveBody implements ingress.Bodies: it refuses a body over the service's
-// limit, or over what the account may hold in memory, before its bytes come.
-// The whole length is reserved at once, so that uploads never hold memory
-// while they wait for each other.
+// ReserveBody implements ingress.Bodies. It refuses a body above the service's
+// limit or the account's free memory before it is read. The whole length is
+// reserved at once, so that uploads cannot deadlock on memory.
 func (p *Proxy) ReserveBody(h http.Header, length int64) (ingress.Reservation, result.Code) {
 	account, service := p.current.Load().find(h)
 	if service == nil {
-		if length > otherBodyBytes {
+		if length > maxUnroutedBodyBytes {
 			return ingress.Reservation{}, result.RequestTooLarge
 		}
-		return ingress.Reservation{Limit: otherBodyBytes}, result.OK
+		return ingress.Reservation{Limit: maxUnroutedBodyBytes}, result.OK
 	}
 	limit := requestLimit(service.service)
 	if length < 0 {
@@ -33,7 +32,7 @@
 	if length > limit {
 		return ingress.Reservation{}, result.RequestTooLarge
 	}
-	time, ok := deadlineOf(h, service.service)
+	timeout, ok := deadlineOf(h, service.service)
 	if !ok {
 		return ingress.Reservation{}, result.BadDeadline
 	}
@@ -41,15 +40,16 @@
 		return ingress.Reservation{}, result.BufferFull
 	}
 	release := func() { account.bytes.Give(length) }
-	reservation := ingress.Reservation{Time: time, Limit: limit, Release: release}
-	// A repeat is told from other work under its key by the whole body.
+	reservation := ingress.Reservation{Time: timeout, Limit: limit, Release: release}
+	// Requests with a key are buffered in full, since repeats are compared by
+	// the body.
 	if length > p.options.StreamOverBytes && h.Get(result.HeaderKey) == "" {
-		reservation.Ahead = min(service.state.sending.of(length), p.options.StreamAhead)
+		reservation.Ahead = min(service.state.sendTime.estimate(length), p.options.StreamAhead)
 	}
 	return reservation, result.OK
 }
 
-// find returns what the fields name, or nil.
+// find returns the account and service that the headers name, or nil.
 func (s *snapshot) find(h http.Header) (*accountView, *serviceView) {
 	account := s.accounts[model.AccountName(h.Get(result.HeaderAccount))]
 	if account == nil {
--- a/proxy/retry_test.go
+++ b/proxy/retry_test.go
@@ -16,10 +16,10 @@
 	failedAnswer = "HTTP/1.1 500 Bad\r\nContent-Length: 0\r\n\r\n"
 )
 
-// cutAfterRequest takes a request and closes the connection.
+// cutAfterRequest reads a request and closes the connection.
 func cutAfterRequest(c *scriptedConn) { c.next() }
 
-// refusingAddress returns an address nothing listens at.
+// refusingAddress returns an address where nothing listens.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,12 +30,11 @@
 	return l.Addr().String()
 }
 
-// One of two targets breaks connections. A dealer who looks up a price gets it
-// from the other one; a dealer who orders is told "unknown", and the order is
-// never sent to the second target.
-func TestOnlyIdempotentWorkIsSentAgainAfterABreak(t *testing.T) {
-	bad := newScripted(t, cutAfterRequest)
-	good := newScripted(t, answering(okAnswer))
+// After a lost connection idempotent requests are retried at another target;
+// others must never be sent twice.
+func TestOnlyIdempotentRequestsAreRetriedAfterConnectionLoss(t *testing.T) {
+	bad := newScriptedTarget(t, cutAfterRequest)
+	good := newScriptedTarget(t, respondAlways(okAnswer))
 	p := newTestProxy(t, nil, bad.address(), good.address())
 	for range 20 {
 		wantResult(t, call(p, http.MethodGet, "/stock", ""), result.OK)
@@ -44,15 +43,15 @@
 		for range 20 {
 			sendOrderOnce(t, p, path, bad, good)
 		}
-		// The look-ups had the bad target ejected. The first choice of a new
-		// proxy is any of the two.
+		// The idempotent requests had the bad target ejected. A new proxy may
+		// choose either target first.
 		for met := bad.requests.Load(); bad.requests.Load() == met; {
 			sendOrderOnce(t, newTestProxy(t, nil, bad.address(), good.address()), path, bad, good)
 		}
 	}
 }
 
-func sendOrderOnce(t *testing.T, p *Proxy, path string, a, b *scripted) {
+func sendOrderOnce(t *testing.T, p *Proxy, path string, a, b *scriptedTarget) {
 	t.Helper()
 	before := a.requests.Load() + b.requests.Load()
 	w := callWithinGrant(p, http.MethodPost, path, "two pallets")
@@ -61,11 +60,11 @@
 	}
 }
 
-// A target sheds an order before running it, or does not take the connection.
-// That is certain, so the other target may run it.
-func TestOrderGoesElsewhereWhenItSurelyDidNotRun(t *testing.T) {
-	shedding := newScripted(t, answering(shedAnswer))
-	good := newScripted(t, answering(okAnswer))
+// An order that was shed, or got no connection, did not run and may be retried
+// at another target.
+func TestOrderIsRetriedIfItDidNotRun(t *testing.T) {
+	shedding := newScriptedTarget(t, respondAlways(shedAnswer))
+	good := newScriptedTarget(t, respondAlways(okAnswer))
 	for _, bad := range []string{shedding.address(), refusingAddress(t)} {
 		p := newTestProxy(t, nil, bad, good.address())
 		for range 20 {
@@ -75,25 +74,25 @@
 	good.wantRequests(t, 40)
 }
 
-// A look-up may have run at one target and surely did not at the other. The
-// caller must not be told "not run" because of the second attempt.
-func TestUnknownIsNotForgottenOverALaterRefusal(t *testing.T) {
+// A second attempt that did not run must not turn an unknown outcome into not
+// run.
+func TestUnknownOutcomeOutlastsLaterRefusal(t *testing.T) {
 	for range 10 {
-		cut := newScripted(t, cutAfterRequest)
+		cut := newScriptedTarget(t, cutAfterRequest)
 		p := newTestProxy(t, nil, cut.address(), refusingAddress(t))
 		wantResult(t, call(p, http.MethodGet, "/stock", ""), result.ConnectionLost)
 	}
 }
 
-// All targets of a place fail. Retries must not multiply the load on them: they
-// stay within the budget's share of the fresh requests.
+// Retries must stay within the budget's share of the requests if all targets
+// fail.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	var addresses []string
-	var targets []*scripted
-	// Half of the targets may be ejected; the others must still be enough for
-	// retries that the budget does not hold back.
+	var targets []*scriptedTarget
+	// Half of the targets may be ejected; the others must be enough for retries
+	// beyond the budget.
 	for range 6 {
-		target := newScripted(t, answering(failedAnswer))
+		target := newScriptedTarget(t, respondAlways(failedAnswer))
 		targets = append(targets, target)
 		addresses = append(addresses, target.address())
 	}
@@ -107,14 +106,15 @@
 		sent += int(target.requests.Load())
 	}
 	if sent < fresh || sent > fresh+fresh/10+1 {
-		t.Fatalf("%d requests sent for %d fresh ones", sent, fresh)
+		t.Fatalf("%d requests sent for %d first requests", sent, fresh)
 	}
 }
 
-// An answer is over the limit. Every other target would give the same one.
-func TestTooLargeAnswerIsNotAskedForAgain(t *testing.T) {
+// An answer above the limit must not be retried: other targets would give the
+// same.
+func TestTooLargeAnswerIsNotRetried(t *testing.T) {
 	large := "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"
-	a, b := newScripted(t, answering(large)), newScripted(t, answering(large))
+	a, b := newScriptedTarget(t, respondAlways(large)), newScriptedTarget(t, respondAlways(large))
 	p := newTestProxy(t, nil, a.address(), b.address())
 	wantResult(t, call(p, http.MethodGet, "/stock", ""), result.AnswerTooLarge)
 	if n := a.requests.Load() + b.requests.Load(); n != 1 {
@@ -122,9 +122,9 @@
 	}
 }
 
-func TestNoRetryWithoutABudget(t *testing.T) {
-	a := newScripted(t, cutAfterRequest)
-	b := newScripted(t, cutAfterRequest)
+func TestNoRetryWithoutBudget(t *testing.T) {
+	a := newScriptedTarget(t, cutAfterRequest)
+	b := newScriptedTarget(t, cutAfterRequest)
 	p := newTestProxy(t, func(_ *Options, m *model.Account) { m.Services[0].RetryBudget = 0 }, a.address(), b.address())
 	wantResult(t, call(p, http.MethodGet, "/stock", ""), result.ConnectionLost)
 	if n := a.requests.Load() + b.requests.Load(); n != 1 {
@@ -132,14 +132,14 @@
 	}
 }
 
-// A target takes look-ups and never answers. The caller gets its answer from
-// the other target long before its own deadline.
-func TestSilentTargetDoesNotCostTheDeadline(t *testing.T) {
-	silent := newScripted(t, func(c *scriptedConn) {
+// A target that never answers must not use up the deadline of idempotent
+// requests.
+func TestUnresponsiveTargetIsRetriedBeforeDeadline(t *testing.T) {
+	silent := newScriptedTarget(t, func(c *scriptedConn) {
 		c.next()
 		c.next()
 	})
-	good := newScripted(t, answering(okAnswer))
+	good := newScriptedTarget(t, respondAlways(okAnswer))
 	p := newTestProxy(t, nil, silent.address(), good.address())
 	for i := range 6 {
 		w := call(p, http.MethodGet, fmt.Sprintf("/stock/%d", i), "", result.HeaderDeadline, "60000")
@@ -147,11 +147,11 @@
 	}
 }
 
-// A target says in its answer that it is leaving, while the VM list still shows
-// it as live and goes on doing so. It gets no new work.
+// A target that announces in an answer that it is leaving gets no new requests,
+// even if the VM list still shows it as live.
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
-	leaving := newScripted(t, answering("HTTP/1.1 200 OK\r\nYucca-Leaving: 1\r\nContent-Length: 2\r\n\r\nok"))
-	good := newScripted(t, answering(okAnswer))
+	leaving := newScriptedTarget(t, respondAlways("HTTP/1.1 200 OK\r\nYucca-Leaving: 1\r\nContent-Length: 2\r\n\r\nok"))
+	good := newScriptedTarget(t, respondAlways(okAnswer))
 	p := newTestProxy(t, nil, leaving.address(), good.address())
 	for range 50 {
 		wantResult(t, call(p, http.MethodPost, "/orders", "x"), result.OK)
@@ -163,8 +163,8 @@
 }
 
 func TestListedAsLeavingGetsNoNewWork(t *testing.T) {
-	a := newScripted(t, answering(okAnswer))
-	b := newScripted(t, answering(okAnswer))
+	a := newScriptedTarget(t, respondAlways(okAnswer))
+	b := newScriptedTarget(t, respondAlways(okAnswer))
 	p := newTestProxy(t, nil, a.address(), b.address())
 	list := listOf(a.address(), b.address())
 	list.VMs[0].State = membership.StateLeaving
--- a/proxy/run.go
+++ b/proxy/run.go
@@ -15,73 +15,74 @@
 // maxAttempts bounds how often one request is sent.
 const maxAttempts = 3
 
-// run sends a request until it has ended.
-func (p *Proxy) run(ctx context.Context, q *request) ending {
+// run obtains a permission and the claim of the key, then sends a request until
+// it has a result.
+func (p *Proxy) run(ctx context.Context, q *request) response {
 	place := q.place
 	if place == nil {
-		return refused(refuse(result.NoTarget))
+		return refusalResponse(refuse(result.NoTarget))
 	}
-	q.service.state.budget.Fresh(q.service.service.RetryBudget)
-	permission, short := p.permit(ctx, q, place)
-	if short != nil {
-		place.countRefusal(short.code)
-		return refused(short)
+	q.service.state.retryBudget.Fresh(q.service.service.RetryBudget)
+	permission, refused := p.permit(ctx, q, place)
+	if refused != nil {
+		place.countRefusal(refused.code)
+		return refusalResponse(refused)
 	}
-	claim, short := p.claimKey(ctx, q)
-	if short != nil {
+	claim, refused := p.claimKey(ctx, q)
+	if refused != nil {
 		permission.cancel()
-		return refused(short)
+		return refusalResponse(refused)
 	}
 	q.claimed = true
-	end := p.sendUntilDone(ctx, q, permission)
-	if end.answer == nil && isNotRun(end.refusal.code) {
+	resp := p.sendWithRetries(ctx, q, permission)
+	if resp.answer == nil && isNotRun(resp.refusal.code) {
 		p.releaseKey(ctx, claim)
 	}
-	return end
+	return resp
 }
 
-// sendUntilDone makes the attempts. What was known to have run, or may have
-// run, is never forgotten over a later attempt that did not run.
-func (p *Proxy) sendUntilDone(ctx context.Context, q *request, permission permission) ending {
+// sendWithRetries makes the attempts. A later attempt that did not run never
+// replaces one that ran or may have run.
+func (p *Proxy) sendWithRetries(ctx context.Context, q *request, permission permission) response {
 	var best attempt
 	var skip balance.Skip
 	for n := 1; ; n++ {
 		skip = skip.With(permission.index)
-		wait := q.patienceFor(permission.place, skip)
+		wait := q.attemptTimeoutFor(permission.place, skip)
 		last := p.attempt(ctx, q, permission, wait.deadline)
-		best = q.better(best, last)
+		best = q.bestAttempt(best, last)
 		if last.final(q.class) || n == maxAttempts {
-			q.unused(wait)
-			return best.ending()
+			q.returnRetry(wait)
+			return best.response()
 		}
 		if !wait.reserved && !q.takeRetry() {
-			return best.ending()
+			return best.response()
 		}
-		next, ok := p.permitAgain(ctx, q, permission.place, skip, n)
+		next, ok := p.permitRetry(ctx, q, permission.place, skip, n)
 		if !ok {
-			q.unused(patience{reserved: true})
-			return best.ending()
+			q.returnRetry(attemptTimeout{reserved: true})
+			return best.response()
 		}
 		permission = next
 	}
 }
 
-// permitAgain finds another target of the same place for a request that is sent
-// once more, within the time left.
-func (p *Proxy) permitAgain(ctx context.Context, q *request, place *placeState, skip balance.Skip, n int) (permission, bool) {
+// permitRetry obtains a permission at another target of the same place within
+// the time left.
+func (p *Proxy) permitRetry(ctx context.Context, q *request, place *placeState, skip balance.Skip, n int) (permission, bool) {
 	backoff := retry.Backoff(n)
-	if time.Until(q.leaveBy(place)) < backoff || !wait.For(ctx, backoff) {
+	if time.Until(q.latestSend(place)) < backoff || !wait.For(ctx, backoff) {
 		return permission{}, false
 	}
 	next, short, _ := place.acquire(q.class, skip)
-	if short == shortSlot && q.class == model.Idempotent {
+	if short == slotShortage && q.class == model.Idempotent {
 		var refused *refusal
-		next, refused = p.wait(ctx, q, place, q.leaveBy(place))
+		next, refused = p.wait(ctx, q, place, q.latestSend(place))
 		if refused == nil {
-			short = shortNone
+			short = noShortage
 		}
 	}
-	if short != shortNone {
+	if short != noShortage {
 		return permission{}, false
 	}
 	q.service.state.metrics[q.class].retries.Inc(1)
@@ -92,7 +93,8 @@
 	return result.InfoOf(code).Outcome == result.NotRun
 }
 
-// retryable reports whether another target may do better than this status.
+// retryable reports whether a request with this status may succeed at another
+// target.
 func retryable(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway,
@@ -103,7 +105,7 @@
 	}
 }
 
-// excessWaits reports whether the account wants traffic above a grant to wait.
-func (q *request) excessWaits() bool {
+// queuesExcess reports whether the account queues traffic above a grant.
+func (q *request) queuesExcess() bool {
 	return q.account.account.Excess == model.ExcessWait
 }
--- a/proxy/scripted_test.go
+++ b/proxy/scripted_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// scripted is a target on a raw connection: a script decides byte by byte what
-// it reads and answers.
-type scripted struct {
+// scriptedTarget is a target on a raw connection; a script controls what it
+// reads and writes.
+type scriptedTarget struct {
 	listener net.Listener
-	// connections and requests count what reached the target.
+	// connections and requests count those that reached the target.
 	connections, requests atomic.Int32
 	done                  sync.WaitGroup
 }
@@ -24,7 +24,7 @@
 
 type scriptedConn struct {
 	net.Conn
-	target *scripted
+	target *scriptedTarget
 	reader *bufio.Reader
 }
 
@@ -41,16 +41,16 @@
 	return r
 }
 
-func (c *scriptedConn) say(text string) { _, _ = io.WriteString(c.Conn, text) }
+func (c *scriptedConn) respond(text string) { _, _ = io.WriteString(c.Conn, text) }
 
-// newScripted starts a target; it counts as stopped at the end of the test.
-func newScripted(t *testing.T, run script) *scripted {
+// newScriptedTarget starts a target that is stopped at the end of the test.
+func newScriptedTarget(t *testing.T, run script) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{listener: l}
+	s := &scriptedTarget{listener: l}
 	s.done.Go(func() { s.accept(run) })
 	t.Cleanup(func() {
 		l.Close()
@@ -59,7 +59,7 @@
 	return s
 }
 
-func (s *scripted) accept(run script) {
+func (s *scriptedTarget) accept(run script) {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
@@ -73,41 +73,42 @@
 	}
 }
 
-func (s *scripted) address() string { return s.listener.Addr().String() }
+func (s *scriptedTarget) address() string { return s.listener.Addr().String() }
 
-// answering returns a script that answers every request in the same way.
-func answering(text string) script {
+// respondAlways returns a script that answers every request with text.
+func respondAlways(text string) script {
 	return func(c *scriptedConn) {
 		for c.next() != nil {
-			c.say(text)
+			c.respond(text)
 		}
 	}
 }
 
-// answeringOnce returns a script that answers one request and closes.
-func answeringOnce(text string) script {
+// respondOnce returns a script that answers one request and closes.
+func respondOnce(text string) script {
 	return func(c *scriptedConn) {
 		if c.next() != nil {
-			c.say(text)
+			c.respond(text)
 		}
 	}
 }
 
-// newHeld starts a target that works on every request until release is called.
-func newHeld(t *testing.T) (s *scripted, release func()) {
+// newBlockedTarget starts a target that answers no request until release is
+// called.
+func newBlockedTarget(t *testing.T) (s *scriptedTarget, release func()) {
 	t.Helper()
 	released := make(chan struct{})
-	s = newScripted(t, func(c *scriptedConn) {
+	s = newScriptedTarget(t, func(c *scriptedConn) {
 		for c.next() != nil {
 			<-released
-			c.say(okAnswer)
+			c.respond(okAnswer)
 		}
 	})
 	return s, func() { close(released) }
 }
 
 // wantRequests checks how many requests have reached the target.
-func (s *scripted) wantRequests(t *testing.T, want int) {
+func (s *scriptedTarget) wantRequests(t *testing.T, want int) {
 	t.Helper()
 	if n := int(s.requests.Load()); n != want {
 		t.Fatalf("the target got %d requests, want %d", n, want)
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -18,55 +18,55 @@
 		return
 	}
 	defer p.gate.Leave()
-	r.Close = r.Close || p.parting.Load()
+	r.Close = r.Close || p.keepAlivesDisabled.Load()
 	q, refused := p.parse(r, from)
 	if refused != nil {
-		p.finish(w, q, refused)
+		p.sendRefusal(w, q, refused)
 		return
 	}
 	p.admit(w, r, q)
 }
 
-// admit holds a place among the requests in hand and the body's memory while
-// the request is served.
+// admit serves a request while it holds its part of the in-flight limit and its
+// body's memory.
 func (p *Proxy) admit(w http.ResponseWriter, r *http.Request, q *request) {
 	if !q.account.inFlight.Take(1) {
-		p.finish(w, q, refuse(result.QueueFull))
+		p.sendRefusal(w, q, refuse(result.QueueFull))
 		return
 	}
 	defer q.account.inFlight.Give(1)
 	if refused := q.loadBody(r); refused != nil {
-		p.finish(w, q, refused)
+		p.sendRefusal(w, q, refused)
 		return
 	}
-	defer q.dropBody()
+	defer q.releaseBody()
 	q.prepare(r)
 	ctx, cancel := p.requestContext(q.from, r, q.deadline)
 	defer cancel()
-	end := p.answerOf(ctx, q)
-	// A caller that keeps its connection to a leaving node would lose the
-	// request it sends on it in the moment in which the node exits.
-	r.Close = r.Close || p.parting.Load() || p.gate.Closed()
-	if end.answer == nil {
-		p.finish(w, q, end.refusal)
+	resp := p.respond(ctx, q)
+	// A request sent on a kept-alive connection to a leaving node would be lost
+	// when the node exits.
+	r.Close = r.Close || p.keepAlivesDisabled.Load() || p.gate.Closed()
+	if resp.answer == nil {
+		p.sendRefusal(w, q, resp.refusal)
 		return
 	}
-	p.deliver(w, q, end)
+	p.sendAnswer(w, q, resp)
 }
 
-// answerOf runs a request, or finds how one with the same key ended.
-func (p *Proxy) answerOf(ctx context.Context, q *request) ending {
-	if q.key == "" || p.kept == nil || q.coming != nil {
-		// A body that still comes cannot be compared with another one.
+// respond runs a request, or finds the response to an earlier one with its key.
+func (p *Proxy) respond(ctx context.Context, q *request) response {
+	if q.key == "" || p.kept == nil || q.partialBody != nil {
+		// An incomplete body cannot be compared with another one.
 		return p.run(ctx, q)
 	}
 	return p.runOnce(ctx, q)
 }
 
-// requestContext ends with the deadline, when the caller goes away and when
-// the proxy is closed.
+// requestContext returns a context that ends at the deadline, when the caller
+// disconnects and when the proxy is closed.
 func (p *Proxy) requestContext(from caller, r *http.Request, deadline time.Time) (context.Context, func()) {
-	ctx, cancel := context.WithDeadline(p.bases.one(), deadline)
+	ctx, cancel := context.WithDeadline(p.parents.random(), deadline)
 	stopWatch := from.WatchClose(r, cancel)
 	return ctx, func() {
 		stopWatch()
@@ -74,7 +74,7 @@
 	}
 }
 
-// prepare fills what is sent to the target.
+// prepare fills in the request to the target.
 func (q *request) prepare(r *http.Request) {
 	q.remote = r.RemoteAddr
 	q.out.Method = r.Method
@@ -88,17 +88,15 @@
 	q.out.Memory = q.account.bytes
 }
 
-// finish answers without a target's answer and counts the result.
-func (p *Proxy) finish(w http.ResponseWriter, q *request, refused *refusal) {
-	q.tellPlace(w.Header())
+func (p *Proxy) sendRefusal(w http.ResponseWriter, q *request, refused *refusal) {
+	q.setRefusedPlace(w.Header())
 	writeRefusal(w, refused)
 	p.record(q, refused.code)
 }
 
-// deliver passes a target's whole answer on.
-func (p *Proxy) deliver(w http.ResponseWriter, q *request, end ending) {
-	writeAnswer(w, end)
-	q.dropAnswer(end.answer)
+func (p *Proxy) sendAnswer(w http.ResponseWriter, q *request, resp response) {
+	writeAnswer(w, resp)
+	q.releaseAnswer(resp.answer)
 	p.record(q, result.OK)
 }
 
--- a/proxy/service_state.go
+++ b/proxy/service_state.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// startRetries lets a service that gets few requests still retry one.
-	startRetries = 1
-	// maxSavedRetries is how many retries can be saved up in quiet times.
+	// initialRetries lets a service with few requests still retry one.
+	initialRetries = 1
+	// maxSavedRetries bounds the retries that accumulate while few are needed.
 	maxSavedRetries = 20
 )
 
-// serviceState is one service of one account, over all snapshots.
+// serviceState is the state of one service of an account. It outlives
+// snapshots.
 type serviceState struct {
-	budget  *retrybudget.Budget
-	metrics [model.ClassCount]*classMetrics
-	// sending estimates how long large bodies take to their targets.
-	sending sendTime
+	retryBudget *retrybudget.Budget
+	metrics     [model.ClassCount]*classMetrics
+	// sendTime estimates how long writing large bodies to targets takes.
+	sendTime sendTimeEstimator
 
 	mu sync.Mutex
-	// offered counts the requests that arrived, for each caller region.
+	// offered counts the arrived requests by caller region.
 	offered map[model.RegionName]*atomic.Uint64
 }
 
 func newServiceState(scope tally.Scope, account model.AccountName, service model.ServiceName) *serviceState {
 	s := &serviceState{
-		budget:  retrybudget.New(startRetries, maxSavedRetries),
-		offered: make(map[model.RegionName]*atomic.Uint64),
+		retryBudget: retrybudget.New(initialRetries, maxSavedRetries),
+		offered:     make(map[model.RegionName]*atomic.Uint64),
 	}
 	for class := range s.metrics {
 		s.metrics[class] = newClassMetrics(scope, account, service, model.Class(class))
@@ -40,7 +41,6 @@
 	return s
 }
 
-// offeredBy returns the counter of a caller region.
 func (s *serviceState) offeredBy(caller model.RegionName) *atomic.Uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/proxy/shortage.go
+++ b/proxy/shortage.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// shortEvery is how often the shortage of a place is told at most.
-const shortEvery = 100 * time.Millisecond
+// shortageReportInterval is the least time between two reports of a shortage of
+// a place.
+const shortageReportInterval = 100 * time.Millisecond
 
-// shortage tells why a place has no permission for a request.
+// shortage is the reason why a place has no permission for a request.
 type shortage uint8
 
 const (
-	shortNone shortage = iota
-	// shortSlot: no target may get more work now.
-	shortSlot
-	// shortGrant: the node's grant for the place is used up.
-	shortGrant
+	noShortage shortage = iota
+	// slotShortage: no target may get more requests now.
+	slotShortage
+	// grantShortage: the node's grant for the place is used up.
+	grantShortage
 )
 
-// tellShort tells that a request will wait for the node's grant. A wait within
-// the pacing time is no shortage: requests do not come evenly.
-func (s *placeState) tellShort(wait time.Duration) {
-	if wait <= pacingTime {
+// reportShortage reports that a request will wait for the node's grant. Waits
+// within maxPacingDelay are not reported: they only smooth uneven arrivals.
+func (s *placeState) reportShortage(wait time.Duration) {
+	if wait <= maxPacingDelay {
 		return
 	}
 	now := s.proxy.now()
-	last := s.shortTold.Load()
-	if last != 0 && now-last < int64(shortEvery) {
+	last := s.shortageReportedAt.Load()
+	if last != 0 && now-last < int64(shortageReportInterval) {
 		return
 	}
-	if s.shortTold.CompareAndSwap(last, now) {
+	if s.shortageReportedAt.CompareAndSwap(last, now) {
 		s.proxy.options.OnGrantShortage(s.key.Account)
 	}
 }
--- a/proxy/snapshot.go
+++ b/proxy/snapshot.go
@@ -9,13 +9,13 @@
 	"github.com/yuccaroute/yuccaroute/proxy/buffer"
 )
 
-// PlaceChooser chooses the place of the next request of one flow by the
-// shares in force. It returns "" when no place has a share.
+// PlaceChooser chooses the place of the next request of one flow by the current
+// shares. Next returns "" if no place has a share.
 type PlaceChooser interface {
 	Next() model.PlaceName
 }
 
-// snapshot is what requests read. It is never changed once stored.
+// snapshot is the immutable state that requests read.
 type snapshot struct {
 	accounts map[model.AccountName]*accountView
 }
@@ -30,17 +30,18 @@
 	return &snapshot{accounts: next}
 }
 
-// accountView is one account in force.
+// accountView is one account in a snapshot.
 type accountView struct {
 	account  *model.Account
 	services map[model.ServiceName]*serviceView
 	bytes    *buffer.Share
 	inFlight *buffer.Share
-	// held tells that the move cap keeps traffic from where the plan wants it.
-	held bool
+	// moveCapped is set while the move cap keeps the shares from reaching the
+	// plan.
+	moveCapped bool
 }
 
-// serviceView is one service in force.
+// serviceView is one service in a snapshot.
 type serviceView struct {
 	service *model.Service
 	state   *serviceState
@@ -51,8 +52,8 @@
 // flowView is the traffic of a service from callers of one region.
 type flowView struct {
 	chooser PlaceChooser
-	// shares are those the chooser goes by.
-	shares    []plan.Share
-	elsewhere *elsewhere
-	offered   *atomic.Uint64
+	// shares are those that the chooser uses.
+	shares      []plan.Share
+	relocations *relocationBudget
+	offered     *atomic.Uint64
 }
--- a/proxy/subset_test.go
+++ b/proxy/subset_test.go
@@ -7,8 +7,7 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// A fleet of 550 nodes serves targets that take 330 connections each. With one
-// connection of each node to each target the bound would be broken by 220.
+// The connections of a large fleet must not exceed the limit of any target.
 func TestConnectionsOfALargeFleet(t *testing.T) {
 	const nodes, targets, perTarget = 550, 48, 330
 	service := &model.Service{ConnectionsPerTarget: perTarget}
@@ -23,7 +22,7 @@
 			}
 		}
 		if used > perTarget || used < perTarget/2 {
-			t.Errorf("target %d gets up to %d connections", target, used)
+			t.Errorf("target %d gets %d connections", target, used)
 		}
 	}
 	for node, n := range perNode {
@@ -33,17 +32,16 @@
 	}
 }
 
-// Today's fleets use every target from every node.
+// A fleet that fits the connection limit uses every target from every node.
 func TestSmallFleetUsesAllTargets(t *testing.T) {
 	for _, perTarget := range []int{330, 360, 0} {
 		if share := subsetShare(&model.Service{ConnectionsPerTarget: perTarget}, 10); share != 1 {
-			t.Errorf("share %f with %d connections", share, perTarget)
+			t.Errorf("share %f with a limit of %d connections", share, perTarget)
 		}
 	}
 }
 
-// Whatever the share is, a node is never without a target in a place that has
-// some.
+// A node must have at least one target in a place that has any.
 func TestEveryNodeHasATarget(t *testing.T) {
 	few := func(o *Options, m *model.Account) {
 		o.Nodes = func() int { return 10_000 }
--- a/proxy/target.go
+++ b/proxy/target.go
@@ -11,14 +11,15 @@
 type target struct {
 	id      string
 	address netip.AddrPort
-	// host is the address as text, field the name as answers tell it.
-	field []string
-	host  string
-	state *balance.Target
-	pool  *pool.Pool
-	// warmAt is when connections may be opened ahead again. The proxy's lock
+	// headerValue is the ID as sent in response headers, host the address as
+	// text.
+	headerValue []string
+	host        string
+	state       *balance.Target
+	pool        *pool.Pool
+	// nextWarm is when connections may next be opened ahead of demand. Proxy.mu
 	// guards it.
-	warmAt int64
+	nextWarm int64
 }
 
 // targetSet is the targets of one service in one place. It is immutable;
@@ -36,9 +37,9 @@
 	return ts
 }
 
-// find returns the member with the name and address, or nil. A VM that comes
-// back under another address is another target: nothing learnt of the old one
-// holds for it.
+// find returns the member with the ID and address, or nil. A VM that returns
+// under another address is a new target: earlier measurements do not apply to
+// it.
 func (ts *targetSet) find(id string, address netip.AddrPort) *target {
 	for _, t := range ts.members {
 		if t.id == id && t.address == address {
--- a/proxy/upload_bench_test.go
+++ b/proxy/upload_bench_test.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// An upload of the benchmark comes evenly over uploadTime, in uploadSteps.
+// Each upload is sent evenly over uploadTime in uploadSteps.
 const (
 	uploadTime  = 200 * time.Millisecond
 	uploadSteps = 50
 )
 
 // BenchmarkUpload uploads bodies at a bounded rate, directly and through the
-// proxy and its server. Its time is the median from the last byte to the answer.
+// proxy and its server. It reports the median time from the last byte to the
+// answer.
 func BenchmarkUpload(b *testing.B) {
 	for _, length := range []int{64 << 10, 1 << 20, maxBenchBytes} {
 		for _, way := range []string{"direct", "proxied"} {
@@ -42,7 +43,7 @@
 	b.ReportMetric(float64(times[len(times)/2]), "ns/op")
 }
 
-// uploadSlowly returns how long the answer took from the last byte on.
+// uploadSlowly returns the time from the last byte to the answer.
 func uploadSlowly(b *testing.B, c net.Conn, reader *bufio.Reader, length int) time.Duration {
 	_, _ = fmt.Fprintf(c, "POST /orders HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n", requestHead, length)
 	began := time.Now()
--- a/proxy/upload_test.go
+++ b/proxy/upload_test.go
@@ -20,41 +20,41 @@
 // halfBytes is half of an upload in the tests.
 const halfBytes = 512 << 10
 
-// serveUploads returns a server that sends uploads on as soon as half of them
-// has come: bodies seem to take very long to the targets.
-func serveUploads(t *testing.T, run ...script) (*Proxy, *ingress.Server, []*scripted) {
+// serveUploads returns a server that starts to forward uploads at half of their
+// body, because the estimated send time is very long.
+func serveUploads(t *testing.T, run ...script) (*Proxy, *ingress.Server, []*scriptedTarget) {
 	t.Helper()
-	var targets []*scripted
+	var targets []*scriptedTarget
 	var addresses []string
 	for _, one := range run {
-		target := newScripted(t, one)
+		target := newScriptedTarget(t, one)
 		targets = append(targets, target)
 		addresses = append(addresses, target.address())
 	}
 	change := func(o *Options, m *model.Account) {
-		withKept(o, m)
+		withKeptAnswers(o, m)
 		o.StreamAhead = time.Hour
 	}
 	p := newTestProxy(t, change, addresses...)
-	p.current.Load().accounts[testAccount].services[testService].state.sending.observe(1, time.Hour)
-	return p, serveCallers(t, p), targets
+	p.current.Load().accounts[testAccount].services[testService].state.sendTime.observe(1, time.Hour)
+	return p, startIngress(t, p), targets
 }
 
-// half returns one half of an upload, told apart by its bytes.
-func half(fill byte) []byte { return bytes.Repeat([]byte{fill}, halfBytes) }
+// halfBody returns half of an upload body filled with one byte.
+func halfBody(fill byte) []byte { return bytes.Repeat([]byte{fill}, halfBytes) }
 
 const postUpload = "POST /orders HTTP/1.1\r\n"
 
-// beginUpload sends a head and the first half of its body.
+// beginUpload sends a request head and the first half of its body.
 func beginUpload(t *testing.T, s *ingress.Server, head string, fill byte) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, reader := dialCaller(t, s)
 	_, _ = io.WriteString(conn, head+requestHead+"Content-Length: "+strconv.Itoa(2*halfBytes)+"\r\n\r\n")
-	_, _ = conn.Write(half(fill))
+	_, _ = conn.Write(halfBody(fill))
 	return conn, reader
 }
 
-// readHalf reads a head and half of its body.
+// readHalf reads a request head and half of its body.
 func (c *scriptedConn) readHalf() *http.Request {
 	r, err := http.ReadRequest(c.reader)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return "HTTP/1.1 " + status + "\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// sayChecksum reads whole requests and answers each with its body's checksum.
-func sayChecksum(c *scriptedConn) {
+// respondChecksum answers each request with the checksum of its body.
+func respondChecksum(c *scriptedConn) {
 	for {
 		r, err := http.ReadRequest(c.reader)
 		if err != nil {
@@ -83,17 +83,17 @@
 			return
 		}
 		c.target.requests.Add(1)
-		c.say(answerText("200 OK", strconv.FormatUint(uint64(sum.Sum32()), 10)))
+		c.respond(answerText("200 OK", strconv.FormatUint(uint64(sum.Sum32()), 10)))
 	}
 }
 
 func checksumOf(fill byte) string {
-	whole := append(half(fill), half(fill)...)
+	whole := append(halfBody(fill), halfBody(fill)...)
 	return strconv.FormatUint(uint64(crc32.ChecksumIEEE(whole)), 10)
 }
 
-// wantAnswer checks result and body of an answer, and whether the connection
-// may be used again.
+// wantAnswer checks result and body of a response, and whether it closes the
+// connection.
 func wantAnswer(t *testing.T, reader *bufio.Reader, code result.Code, body string, closes bool) {
 	t.Helper()
 	resp, err := http.ReadResponse(reader, nil)
@@ -112,10 +112,11 @@
 	}
 }
 
-// wantIdle waits until nothing is in hand and all that requests held is free.
+// wantIdle waits until no request is in flight and all their resources are
+// free.
 func wantIdle(t *testing.T, p *Proxy) {
 	t.Helper()
-	until(func() bool { return p.InFlight() == 0 && p.bytes.Used() == 0 })
+	waitUntil(func() bool { return p.InFlight() == 0 && p.bytes.Used() == 0 })
 	for _, m := range onlyPlace(p).targets.Load().members {
 		if n := m.state.Outstanding(); n != 0 {
 			t.Fatalf("%d slots taken", n)
@@ -123,18 +124,16 @@
 	}
 }
 
-// Two warehouses upload their scans at the same time, piece by piece in turn.
-// Each target has half of a body before the other half exists. Each caller gets
-// the answer to its own body, twice over one connection, and the connections
-// to the targets are used again.
-func TestUploadsInTurnGetTheirOwnAnswers(t *testing.T) {
-	p, s, targets := serveUploads(t, sayChecksum)
+// Uploads forwarded at the same time must not mix their bodies or answers, and
+// connections to targets must be reused.
+func TestInterleavedUploadsGetTheirOwnAnswers(t *testing.T) {
+	p, s, targets := serveUploads(t, respondChecksum)
 	first, firstReader := beginUpload(t, s, postUpload, 'a')
 	second, secondReader := beginUpload(t, s, postUpload, 'b')
-	until(func() bool { return p.InFlight() == 2 })
-	_, _ = second.Write(half('b'))
+	waitUntil(func() bool { return p.InFlight() == 2 })
+	_, _ = second.Write(halfBody('b'))
 	wantAnswer(t, secondReader, result.OK, checksumOf('b'), false)
-	_, _ = first.Write(append(half('a'), "GET /stock HTTP/1.1\r\n"+requestHead+"\r\n"...))
+	_, _ = first.Write(append(halfBody('a'), "GET /stock HTTP/1.1\r\n"+requestHead+"\r\n"...))
 	wantAnswer(t, firstReader, result.OK, checksumOf('a'), false)
 	wantAnswer(t, firstReader, result.OK, "0", false)
 	wantIdle(t, p)
@@ -143,31 +142,30 @@
 	}
 }
 
-// A contractor's client uses one key for two flock registers. The second one
-// must not get the first one's confirmation: it is compared with it by its whole
-// body, which an upload that is sent on early does not have.
-func TestUploadsUnderOneKeyAreCompared(t *testing.T) {
-	p, s, targets := serveUploads(t, sayChecksum)
+// Uploads with a key must be compared by their whole body and so not be
+// streamed.
+func TestUploadsWithSameKeyAreCompared(t *testing.T) {
+	p, s, targets := serveUploads(t, respondChecksum)
 	fields := http.Header{result.HeaderAccount: {testAccount}, result.HeaderService: {testService}, result.HeaderKey: {"o-1"}}
 	if reservation, code := p.ReserveBody(fields, 2*halfBytes); code != result.OK || reservation.Ahead != 0 {
-		t.Errorf("%d, sent on %s early", code, reservation.Ahead)
+		t.Errorf("code %d, streamed %s ahead", code, reservation.Ahead)
 	} else {
 		reservation.Release()
 	}
 	keyed := postUpload + "Idempotency-Key: o-1\r\n"
 	first, firstReader := beginUpload(t, s, keyed, 'a')
-	_, _ = first.Write(half('a'))
+	_, _ = first.Write(halfBody('a'))
 	wantAnswer(t, firstReader, result.OK, checksumOf('a'), false)
 	second, secondReader := beginUpload(t, s, keyed, 'b')
-	_, _ = second.Write(half('b'))
+	_, _ = second.Write(halfBody('b'))
 	wantAnswer(t, secondReader, result.KeyReused, "", false)
 	targets[0].wantRequests(t, 1)
 }
 
-// A warehouse's link breaks in mid-upload, with half of the body at the target.
-// The target must see its connection close, at once and not at the deadline,
-// and its slot must be free; it must never see the half as a whole.
-func TestCallerThatStopsInMidUploadFreesItsSlot(t *testing.T) {
+// If the caller disconnects during an upload, the target must see its
+// connection close at once, never a complete body, and the slot must be
+// released.
+func TestCallerDisconnectDuringUploadReleasesSlot(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan error, 1)
 	p, s, _ := serveUploads(t, func(c *scriptedConn) {
 		r := c.readHalf()
@@ -182,59 +180,57 @@
 	<-got
 	conn.Close()
 	if err := <-ended; err != io.ErrUnexpectedEOF {
-		t.Errorf("the target read the rest with %v", err)
+		t.Errorf("the target read the rest of the body with error %v", err)
 	}
 	wantIdle(t, p)
 }
 
-// A target dies with half of an upload. The caller is told at once, before it
-// has sent the rest, that the outcome is unknown, and nobody else gets the
-// upload. What the caller still sends must not be read as its next request.
-func TestTargetThatDiesInMidUpload(t *testing.T) {
+// If the target fails during an upload, the caller gets an unknown outcome at
+// once, and the rest of the body must not be read as another request.
+func TestTargetFailureDuringUpload(t *testing.T) {
 	p, s, targets := serveUploads(t, func(c *scriptedConn) { c.readHalf() })
 	conn, reader := beginUpload(t, s, postUpload, 'a')
 	wantAnswer(t, reader, result.ConnectionLost, "", true)
 	_, _ = io.WriteString(conn, "POST /orders HTTP/1.1\r\n"+requestHead+"Content-Length: 1\r\n\r\nx")
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-		t.Errorf("answered %q", rest)
+		t.Errorf("rest of the body answered with %q", rest)
 	}
 	wantIdle(t, p)
 	targets[0].wantRequests(t, 1)
 }
 
-// The same with an upload that may run twice: all that has come is still in
-// memory, and another target gets the whole body.
-func TestIdempotentUploadIsSentAgainWhole(t *testing.T) {
+// An idempotent upload whose target fails must be sent to another target in
+// full.
+func TestIdempotentUploadIsRetriedInFull(t *testing.T) {
 	var died atomic.Bool
 	run := func(c *scriptedConn) {
 		if died.CompareAndSwap(false, true) {
 			c.readHalf()
 			return
 		}
-		sayChecksum(c)
+		respondChecksum(c)
 	}
 	p, s, _ := serveUploads(t, run, run)
 	conn, reader := beginUpload(t, s, "PUT /stock HTTP/1.1\r\n", 'a')
-	until(died.Load)
-	_, _ = conn.Write(half('a'))
+	waitUntil(died.Load)
+	_, _ = conn.Write(halfBody('a'))
 	wantAnswer(t, reader, result.OK, checksumOf('a'), false)
 	wantIdle(t, p)
 }
 
-// A target refuses an upload at its head and keeps its connection open. Its
-// answer reaches the caller before the rest of the body was sent; neither
-// connection is used again, as the rest would be read as a request.
-func TestTargetThatAnswersInMidUpload(t *testing.T) {
+// An answer before the end of the body must reach the caller at once, and
+// neither connection may be reused.
+func TestTargetAnswerDuringUpload(t *testing.T) {
 	closed := make(chan struct{})
 	p, s, _ := serveUploads(t, func(c *scriptedConn) {
 		r, err := http.ReadRequest(c.reader)
 		if err == nil && r.ContentLength > 0 {
-			c.say(answerText("413 Content Too Large", "no"))
+			c.respond(answerText("413 Content Too Large", "no"))
 			_, _ = io.Copy(io.Discard, c.reader)
 			close(closed)
 			return
 		}
-		c.say(okAnswer)
+		c.respond(okAnswer)
 	})
 	_, reader := beginUpload(t, s, postUpload, 'a')
 	wantAnswer(t, reader, result.OK, "no", true)
--- a/proxy/write.go
+++ b/proxy/write.go
@@ -8,7 +8,6 @@
 	"github.com/yuccaroute/yuccaroute/proxy/forward"
 )
 
-// writeRefusal gives the caller its final answer at once.
 func writeRefusal(w http.ResponseWriter, r *refusal) {
 	info := result.InfoOf(r.code)
 	body := info.Name + ": " + info.Meaning + "\n"
@@ -17,7 +16,7 @@
 	if info.Retry {
 		after := r.retryAfter
 		if after <= 0 {
-			after = retryAfterOf(r.code)
+			after = defaultRetryAfterFor(r.code)
 		}
 		result.SetRetryAfter(h, after)
 	}
@@ -28,27 +27,27 @@
 	flush(w)
 }
 
-// The fields of every answer of a target; they are only read.
+// The headers of every forwarded answer; they are never modified.
 var (
 	okResult  = []string{strconv.Itoa(int(result.OK))}
 	okOutcome = []string{result.Ran.String()}
 )
 
-// writeAnswer passes a target's whole answer on.
-func writeAnswer(w http.ResponseWriter, end ending) {
+// writeAnswer forwards the complete answer of a target.
+func writeAnswer(w http.ResponseWriter, resp response) {
 	h := w.Header()
-	forward.CopyHeader(h, end.answer.Header)
+	forward.CopyHeader(h, resp.answer.Header)
 	h[result.HeaderResult] = okResult
 	h[result.HeaderOutcome] = okOutcome
-	h[result.HeaderPlace] = end.place
-	h[result.HeaderTarget] = end.target
-	if length := end.answer.LengthField(); length != nil {
+	h[result.HeaderPlace] = resp.place
+	h[result.HeaderTarget] = resp.target
+	if length := resp.answer.LengthField(); length != nil {
 		h["Content-Length"] = length
 	}
-	w.WriteHeader(sendableStatus(h, end.answer.Status))
-	if len(end.answer.Body) > 0 {
-		// A write that fails means that the caller is gone.
-		_, _ = w.Write(end.answer.Body)
+	w.WriteHeader(sendableStatus(h, resp.answer.Status))
+	if len(resp.answer.Body) > 0 {
+		// A write error means that the caller has disconnected.
+		_, _ = w.Write(resp.answer.Body)
 	}
 	flush(w)
 }
@@ -58,9 +57,10 @@
 	h.Set(result.HeaderOutcome, info.Outcome.String())
 }
 
-// sendableStatus returns the status to send. The HTTP library turns a status
-// it has no name for into 200, which would make a failure look like success;
-// such a status is sent as the first of its class and told in a field.
+// sendableStatus returns the status to send. The HTTP library replaces a status
+// that it does not know by 200, so that a failure would look like a success;
+// such a status is sent as the first of its class and reported in
+// HeaderTargetStatus.
 func sendableStatus(h http.Header, status int) int {
 	const class = 100
 	if http.StatusText(status) != "" {
@@ -70,8 +70,8 @@
 	return max(status/class*class, http.StatusOK)
 }
 
-// flush hands the answer to the connection before the request counts as
-// ended, so that a drain does not close the connection under it.
+// flush hands the response to the connection before the request counts as
+// ended, so that a drain does not close the connection first.
 func flush(w http.ResponseWriter) {
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
