--- a/steering/build.go
+++ b/steering/build.go
@@ -6,15 +6,15 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// decision turns the solver's state into the result.
+// decision builds the result from the state of the solver.
 func (s *solver) decision() Decision {
 	d := Decision{Plan: s.plan(), Frozen: s.frozen()}
 	for i := range s.flows {
 		f := &s.flows[i]
-		d.MovedPPM += uint32(float64(f.spent) * f.weight)
+		d.MovedPPM += uint32(float64(f.movedNow) * f.weight)
 		d.Moves = s.appendMoves(d.Moves, f)
 	}
-	d.Changed = len(d.Moves) > 0 || s.anyFresh()
+	d.Changed = len(d.Moves) > 0 || s.anyNew()
 	d.Limits = s.limits()
 	d.Reasons = s.reasons()
 	return d
@@ -66,34 +66,34 @@
 }
 
 func (s *solver) appendMoves(moves []Move, f *flow) []Move {
-	if f.fresh {
+	if f.isNew {
 		return moves
 	}
 	for p := range f.shares {
-		if f.shares[p] == f.before[p] {
+		if f.shares[p] == f.previous[p] {
 			continue
 		}
 		moves = append(moves, Move{
 			Service: s.account.Services[f.service].Name,
 			Caller:  f.caller,
 			Place:   s.places[p].name,
-			Delta:   int32(f.shares[p]) - int32(f.before[p]),
+			Delta:   int32(f.shares[p]) - int32(f.previous[p]),
 			Cause:   f.causes[p],
 		})
 	}
 	return moves
 }
 
-func (s *solver) anyFresh() bool {
+func (s *solver) anyNew() bool {
 	for i := range s.flows {
-		if s.flows[i].fresh {
+		if s.flows[i].isNew {
 			return true
 		}
 	}
 	return false
 }
 
-// frozen reports that no flow may be increased anywhere.
+// frozen reports whether no flow may be increased anywhere.
 func (s *solver) frozen() bool {
 	for i := range s.flows {
 		if !s.flows[i].frozen() {
--- a/steering/cell.go
+++ b/steering/cell.go
@@ -7,34 +7,35 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// cell is one service in one place.
+// cell is the state of one service in one place.
 type cell struct {
-	// state is nil when nothing was ever measured.
+	// state is nil when nothing was measured.
 	state *PlaceState
-	// configured is the capacity by the configuration, permitted that of the
-	// targets that take work, usable that of those relied on, requests/s.
-	configured, permitted, usable float64
-	load                          float64
-	// worse tells that more requests fail than in other places.
-	worse bool
-	// latencyMS is the service time that the costs use.
+	// configuredCapacity is the capacity from the configuration. availableCapacity
+	// is the part provided by usable targets, stableCapacity the part provided by
+	// usable targets that are not unstable. All are in requests/s.
+	configuredCapacity, availableCapacity, stableCapacity float64
+	load                                                  float64
+	// outlier is set when the failure share far exceeds that of other places.
+	outlier bool
+	// latencyMS is the service time used in the costs.
 	latencyMS float64
-	// raised is what the cell was raised by within the step interval, and
-	// raisedLately what of it may prove too much, requests/s.
-	raised, raisedLately float64
-	// backoff is what a slow cell still has to give back, requests/s.
+	// stepIncrease is the load added within the step interval, recentIncrease the
+	// net load added within the attribution window, in requests/s.
+	stepIncrease, recentIncrease float64
+	// backoff is the load that a slow cell still has to shed, requests/s.
 	backoff float64
-	// backoffs counts the times it gave back lately; lastBackoff is the age of the
-	// newest, 0 without one.
-	backoffs    int
-	lastBackoff time.Duration
-	// holdDown is the time for which work does not return, failures the number
-	// of times it left because of a failure.
-	holdDown time.Duration
-	failures int
+	// backoffCount is the number of recent backoffs, lastBackoff the age of the
+	// newest one, or 0 without any.
+	backoffCount int
+	lastBackoff  time.Duration
+	// holdDown is the remaining time for which traffic does not return, failureCount
+	// the number of times traffic left because of a failure.
+	holdDown     time.Duration
+	failureCount int
 }
 
-// cellKey names a cell in the input.
+// cellKey identifies a cell in the input.
 type cellKey struct {
 	service model.ServiceName
 	place   model.PlaceName
@@ -52,14 +53,14 @@
 		service := &s.account.Services[i]
 		row := all[i*len(s.places) : (i+1)*len(s.places)]
 		for _, c := range service.Capacity {
-			if p, ok := s.index[c.Place]; ok {
-				row[p].configured = c.RPS
+			if p, ok := s.placeIndex[c.Place]; ok {
+				row[p].configuredCapacity = c.RPS
 			}
 		}
 		for p := range row {
 			row[p].state = states[cellKey{service.Name, s.places[p].name}]
 		}
-		compareFailures(row)
+		detectOutliers(row)
 		for p := range row {
 			row[p].setCapacity(s.places[p].drain.ended)
 		}
@@ -68,22 +69,23 @@
 	}
 }
 
-// setCapacity scales the capacity by the targets. A cell whose requests fail,
-// or whose targets are gone, has none; one nobody measured keeps what is
-// configured.
+// setCapacity scales the configured capacity by the share of usable targets. A
+// cell that fails or whose drain has ended has no capacity; an unmeasured cell
+// keeps its configured capacity.
 func (c *cell) setCapacity(ended bool) {
 	if ended || c.broken() {
 		return
 	}
-	c.permitted = c.configured * c.partOf(0)
-	c.usable = c.permitted
+	c.availableCapacity = c.configuredCapacity * c.targetShare(0)
+	c.stableCapacity = c.availableCapacity
 	if c.state != nil {
-		c.usable = c.configured * c.partOf(c.state.Unstable)
+		c.stableCapacity = c.configuredCapacity * c.targetShare(c.state.Unstable)
 	}
 }
 
-// partOf returns the part of the targets that take work, without some.
-func (c *cell) partOf(without int) float64 {
+// targetShare returns the share of known targets that are usable, not counting
+// the given number of usable ones.
+func (c *cell) targetShare(without int) float64 {
 	if c.state != nil && c.state.NoTargets {
 		return 0
 	}
@@ -93,45 +95,46 @@
 	return min(1, float64(max(c.state.Usable-without, 0))/float64(c.state.Known))
 }
 
-// failed reports a cell that all work must leave. An old state counts as well:
-// a place last seen failing is not taken for healthy because reports stopped.
+// failed reports whether all traffic must leave the cell. The last state counts
+// however old it is: a failed place is not healthy just because reports stopped.
 func (c *cell) failed() bool {
-	return c.broken() || c.state != nil && c.partOf(c.state.Unstable) == 0
+	return c.broken() || c.state != nil && c.targetShare(c.state.Unstable) == 0
 }
 
-// broken reports a cell most of whose requests fail, whatever its targets say.
+// broken reports whether most requests fail, whatever the state of the targets.
 func (c *cell) broken() bool {
-	return c.worse && c.state.FailureShare >= failedShare
+	return c.outlier && c.state.FailureShare >= failedShare
 }
 
-// poor reports a cell that work leaves, though it still serves what is sent.
-func (c *cell) poor() bool {
-	return c.worse && c.state.FailureShare >= poorShare
+// degraded reports whether traffic should leave the cell, although it still
+// serves what it gets.
+func (c *cell) degraded() bool {
+	return c.outlier && c.state.FailureShare >= degradedShare
 }
 
-// failing reports a cell that takes no more work. Other places do not matter:
-// when all fail, because all have just taken work over, none is raised.
+// failing reports whether the cell takes no more traffic. It does not compare
+// places: when all fail after a shift of traffic, none may be increased.
 func (c *cell) failing() bool {
 	return c.measured() && c.state.FailureShare >= failingShare
 }
 
-// failure returns the part of the cell that fails, 0 to 1.
-func (c *cell) failure() float64 {
+// unavailableShare returns the part of the cell that fails, 0 to 1.
+func (c *cell) unavailableShare() float64 {
 	if c.state == nil {
 		return 0
 	}
-	return max(1-c.partOf(c.state.Unstable), c.state.FailureShare)
+	return max(1-c.targetShare(c.state.Unstable), c.state.FailureShare)
 }
 
 func (c *cell) measured() bool {
-	return c.state != nil && c.state.SentRPS >= leastSentRPS
+	return c.state != nil && c.state.SentRPS >= minSentRPS
 }
 
 func (c *cell) stale() bool {
 	return c.state != nil && c.state.Age >= FreezeAge
 }
 
-// slowness returns P99 relative to its warm value, 0 when one is unknown.
+// slowness returns the ratio of P99 to its warm value, or 0 when one is unknown.
 func (c *cell) slowness() float64 {
 	if !c.measured() || c.state.P99 <= 0 || c.state.WarmP99 <= 0 {
 		return 0
@@ -139,9 +142,9 @@
 	return float64(c.state.P99) / float64(c.state.WarmP99)
 }
 
-// setLatencies gives each cell its median service time, and the middle of
-// the others' to one that has none. A value far off is brought near the
-// middle: one wrong report must not decide alone.
+// setLatencies sets the service time of each cell to its median, or to the middle
+// of the others when it was not measured. Outliers are clamped, so that a single
+// wrong report does not attract or repel all traffic.
 func setLatencies(row []cell) {
 	var known []float64
 	for i := range row {
@@ -157,7 +160,7 @@
 	for i := range row {
 		row[i].latencyMS = middle
 		if row[i].measured() && row[i].state.P50 > 0 {
-			row[i].latencyMS = min(max(milliseconds(row[i].state.P50), middle/mostLatencyFactor), middle*mostLatencyFactor)
+			row[i].latencyMS = min(max(milliseconds(row[i].state.P50), middle/maxLatencyFactor), middle*maxLatencyFactor)
 		}
 	}
 }
--- a/steering/cold.go
+++ b/steering/cold.go
@@ -6,48 +6,50 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// watchTime is how long after an increase slowness is put down to it.
-const watchTime = 3 * stepInterval
+// attributionWindow is the time after an increase for which slowness is
+// attributed to the increase.
+const attributionWindow = 3 * stepInterval
 
-// chargeCell counts a move towards the steps and the hold-down of its cell.
-func (s *solver) chargeCell(m *Move, episodes map[cellKey]*episode) {
+// recordCellMove accounts for a recent move in the steps, backoffs and failures
+// of its cell.
+func (s *solver) recordCellMove(m *Move, histories map[cellKey]*failureHistory) {
 	service := s.serviceIndex(m.Service)
 	if service < 0 {
 		return
 	}
-	place, ok := s.index[m.Place]
+	place, ok := s.placeIndex[m.Place]
 	if !ok {
 		return
 	}
 	c := &s.cells[service][place]
-	s.chargeStep(c, m, service)
-	c.chargeBackoff(m)
+	s.recordIncrease(c, m, service)
+	c.recordBackoff(m)
 	if m.Cause == KindFailure && m.Delta < 0 || m.Delta > 0 {
-		noteEpisode(episodes, cellKey{m.Service, m.Place}, m)
+		addFailureMove(histories, cellKey{m.Service, m.Place}, m)
 	}
 }
 
-func (s *solver) chargeStep(c *cell, m *Move, service int) {
-	if m.Age > watchTime {
+func (s *solver) recordIncrease(c *cell, m *Move, service int) {
+	if m.Age > attributionWindow {
 		return
 	}
 	rps := s.demandOf(service, m) * float64(m.Delta) / plan.Whole
-	c.raisedLately += rps
+	c.recentIncrease += rps
 	if rps > 0 && m.Age < stepInterval {
-		c.raised += rps
+		c.stepIncrease += rps
 	}
 }
 
-// chargeBackoff counts the times the cell gave back lately. The parts of one
-// time are made at once or, when the cap holds some back, within the watch time.
-func (c *cell) chargeBackoff(m *Move) {
-	if m.Cause != KindSlow || m.Delta >= 0 || m.Age > backoffMemory {
+// recordBackoff counts recent backoffs. Moves that are less than the attribution
+// window apart belong to the same backoff.
+func (c *cell) recordBackoff(m *Move) {
+	if m.Cause != KindSlow || m.Delta >= 0 || m.Age > backoffRetention {
 		return
 	}
-	if c.backoffs == 0 || c.lastBackoff-m.Age >= watchTime || m.Age-c.lastBackoff >= watchTime {
-		c.backoffs++
+	if c.backoffCount == 0 || c.lastBackoff-m.Age >= attributionWindow || m.Age-c.lastBackoff >= attributionWindow {
+		c.backoffCount++
 	}
-	if c.backoffs == 1 || m.Age < c.lastBackoff {
+	if c.backoffCount == 1 || m.Age < c.lastBackoff {
 		c.lastBackoff = m.Age
 	}
 }
@@ -62,40 +64,39 @@
 	return 0
 }
 
-// setBackoffs lets cells that are far slower than when warm give back a part
-// of what they were raised by lately, once in a watch time: what was given back
-// shows in the measurements as late as an increase does, and a place that warms
-// up would be emptied meanwhile.
+// setBackoffs makes cells that are far slower than when warm shed part of their
+// recent increase, at most once per attribution window. Without that pause, a
+// place would be emptied before the measurements show the effect.
 func (s *solver) setBackoffs() {
 	for i := range s.cells {
 		for p := range s.cells[i] {
 			c := &s.cells[i][p]
-			if c.slowness() >= slowBackoff && c.raisedLately > 0 && !c.resting() {
-				c.backoff = c.raisedLately * backoffPart
+			if c.slowness() >= slowBackoffRatio && c.recentIncrease > 0 && !c.inBackoff() {
+				c.backoff = c.recentIncrease * backoffShare
 			}
 		}
 	}
 }
 
-// episode is one run of moves out of a failing cell; a return ends it. Moves
-// come newest or oldest first, so the ages decide.
-type episode struct {
+// failureHistory holds the recent moves into a cell and out of it on failures. They
+// arrive in any order.
+type failureHistory struct {
 	moves []Move
 }
 
-func noteEpisode(episodes map[cellKey]*episode, key cellKey, m *Move) {
-	e := episodes[key]
+func addFailureMove(histories map[cellKey]*failureHistory, key cellKey, m *Move) {
+	e := histories[key]
 	if e == nil {
-		e = &episode{}
-		episodes[key] = e
+		e = &failureHistory{}
+		histories[key] = e
 	}
 	e.moves = append(e.moves, *m)
 }
 
-// holdDown returns for how long work still does not return, and how often it
-// left: the time doubles with every failure that followed a return, so that a
-// place that comes and goes is used less and less.
-func (e *episode) holdDown() (time.Duration, int) {
+// holdDown returns the remaining time for which traffic does not return, and the
+// number of times it left. The time doubles with each failure after a return, so
+// that a flapping place is used less and less.
+func (e *failureHistory) holdDown() (time.Duration, int) {
 	sortOldestFirst(e.moves)
 	failures := 0
 	away := false
@@ -115,6 +116,6 @@
 	if last < 0 {
 		return 0, 0
 	}
-	hold := holdDown << min(failures-1, holdDownDoublings)
+	hold := holdDown << min(failures-1, maxHoldDownDoublings)
 	return max(hold-last, 0), failures
 }
--- a/steering/compare.go
+++ b/steering/compare.go
@@ -1,10 +1,9 @@
 package steering
 
-// compareFailures tells which cells of one service fail more than the others.
-// When requests fail in all places alike, the cause is not the place: to leave
-// one would move work for nothing, and to shut all of them would refuse the
-// requests that still succeed.
-func compareFailures(row []cell) {
+// detectOutliers marks the cells of a service that fail more than the others. When
+// requests fail equally everywhere, the places are not the cause: moving traffic
+// would not help, and closing all places would reject requests that succeed.
+func detectOutliers(row []cell) {
 	first, second := leastFailing(row)
 	for i := range row {
 		least := first
@@ -12,17 +11,17 @@
 			least = second
 		}
 		c := &row[i]
-		c.worse = least >= 0 && c.measured() && c.state.FailureShare > worseFactor*row[least].failureShare()
+		c.outlier = least >= 0 && c.measured() && c.state.FailureShare > outlierFactor*row[least].failureShare()
 	}
 }
 
-// leastFailing returns the two cells that fail least of those that could take
-// work, -1 for each that is missing.
+// leastFailing returns the two cells with the lowest failure shares among those
+// with capacity and usable targets, -1 for each that is missing.
 func leastFailing(row []cell) (first, second int) {
 	first, second = -1, -1
 	for i := range row {
 		c := &row[i]
-		if c.configured <= 0 || c.state == nil || c.partOf(c.state.Unstable) == 0 {
+		if c.configuredCapacity <= 0 || c.state == nil || c.targetShare(c.state.Unstable) == 0 {
 			continue
 		}
 		switch {
@@ -35,7 +34,7 @@
 	return first, second
 }
 
-// failureShare is 0 for a cell without traffic: its targets are there.
+// failureShare is 0 for a cell without enough traffic to measure.
 func (c *cell) failureShare() float64 {
 	if !c.measured() {
 		return 0
--- a/steering/decide.go
+++ b/steering/decide.go
@@ -1,20 +1,19 @@
 package steering
 
-// Decide returns the next plan of an account. It starts from the previous
-// plan and exchanges small parts of a flow between two places as long as that
-// pays, so that what stays put costs nothing and the moves are as few as the
-// gains demand. Every exchange is checked against all capacities, the move cap
-// and the steps of cold places at the moment it is made; so no sequence of
-// them can pass one.
+// Decide returns the next plan of an account. It is a local search that starts
+// from the previous plan and moves small parts of a flow between two places while
+// that lowers the cost, so traffic only moves where it pays. Each step is checked
+// against all capacities, the move cap and the step limits, so that no sequence of
+// steps can exceed them.
 //
-// Work that must leave a place goes first, and may use the whole cap. Moves
-// for gain follow, only when nothing that must leave is held back.
+// Forced moves out of a place come first and may use the whole cap. Optional moves
+// follow only when no forced move is pending.
 func Decide(in Input) Decision {
 	s := newSolver(&in)
-	s.place()
-	s.exchangeForced()
-	if !s.heldBack() {
-		s.exchangeForGain()
+	s.placeNewFlows()
+	s.makeForcedMoves()
+	if !s.forcedMovesPending() {
+		s.makeOptionalMoves()
 	}
 	return s.decision()
 }
--- a/steering/decide_bench_test.go
+++ b/steering/decide_bench_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// benchRegions is the number of regions of the accounts measured.
+// benchRegions is the number of regions in the benchmark accounts.
 const benchRegions = 6
 
-// BenchmarkDecide measures a decision that moves nothing, the usual case.
+// BenchmarkDecide measures a decision without moves, the usual case.
 func BenchmarkDecide(b *testing.B) {
-	eachSize(b, func(b *testing.B, in Input) { measure(b, in) })
+	eachSize(b, func(b *testing.B, in Input) { benchmarkDecide(b, in) })
 }
 
-// BenchmarkDecideFailure measures the first decision after a place failed:
-// every flow that used it moves a whole cap.
+// BenchmarkDecideFailure measures the first decision after a place failed, in
+// which each flow that used the place moves a full cap.
 func BenchmarkDecideFailure(b *testing.B) {
 	eachSize(b, func(b *testing.B, in Input) {
 		in.Account.Moves.Share = 0.5
@@ -24,7 +24,7 @@
 				in.Places[i].Usable = 0
 			}
 		}
-		measure(b, in)
+		benchmarkDecide(b, in)
 	})
 }
 
@@ -32,17 +32,18 @@
 	for _, places := range []int{6, 20, 60, 160} {
 		for _, services := range []int{1, 2, 4} {
 			b.Run(fmt.Sprintf("places=%d/services=%d", places, services), func(b *testing.B) {
-				run(b, settled(places, services))
+				run(b, steadyState(places, services))
 			})
 		}
 	}
 }
 
-// settled is an account in its steady state, with moves to remember.
-func settled(places, services int) Input {
-	a := accountOf(benchRegions, (places+benchRegions-1)/benchRegions, services)
+// steadyState returns the input of an account in its steady state, with recent
+// moves.
+func steadyState(places, services int) Input {
+	a := newAccount(benchRegions, (places+benchRegions-1)/benchRegions, services)
 	a.Places = a.Places[:places]
-	in := inputOf(a, 0.5)
+	in := newInput(a, 0.5)
 	in.Previous = Decide(in).Plan
 	for i := range 64 {
 		in.RecentMoves = append(in.RecentMoves, Move{
@@ -57,7 +58,7 @@
 	return in
 }
 
-func measure(b *testing.B, in Input) {
+func benchmarkDecide(b *testing.B, in Input) {
 	b.ReportAllocs()
 	for b.Loop() {
 		Decide(in)
--- a/steering/decision.go
+++ b/steering/decision.go
@@ -8,29 +8,29 @@
 // Decision is the outcome of Decide.
 type Decision struct {
 	Plan *plan.Plan
-	// Changed tells that the plan's shares differ from the previous plan's.
+	// Changed is set when the shares differ from those of the previous plan.
 	Changed bool
-	// Moves lists what changed, with Age 0. They must last before the plan is
-	// given out.
+	// Moves lists the changed shares, with Age 0. They must be stored durably
+	// before the plan is published.
 	Moves []Move
 	// MovedPPM is the sum of the share increases, each weighted by its flow's
-	// part of the account's traffic, parts per million.
+	// part of the account's traffic, in parts per million.
 	MovedPPM uint32
 	// Limits has one entry for each service and place with a capacity.
 	Limits []Limit
-	// Reasons tell why shares are what they are.
+	// Reasons explain the shares.
 	Reasons []Reason
-	// Frozen tells that the measurements are too old for any increase.
+	// Frozen is set when the measurements are too old for any increase.
 	Frozen bool
 }
 
-// Limit is what a service may do in a place under a decision.
+// Limit is the load that a service may carry in a place under a decision.
 type Limit struct {
 	Service model.ServiceName
 	Place   model.PlaceName
-	// DesiredRPS is the load the plan asks for, margins included. It never
-	// passes UsableRPS, nor, in sum, a region's or a link's capacity.
+	// DesiredRPS is the planned load, margins included. It never exceeds
+	// UsableRPS, nor, in sum, the capacity of a region or link.
 	DesiredRPS float64
-	// UsableRPS is the capacity of the targets that take work.
+	// UsableRPS is the capacity of the usable targets.
 	UsableRPS float64
 }
--- a/steering/demand.go
+++ b/steering/demand.go
@@ -11,7 +11,7 @@
 	caller  model.RegionName
 }
 
-// readDemand gives each flow its demand, widened by its margin and age.
+// readDemand sets the demand of each flow, widened by its margin and age.
 func (s *solver) readDemand() {
 	demands := make(map[flowKey]*Demand, len(s.in.Demand))
 	for i := range s.in.Demand {
@@ -24,9 +24,9 @@
 		if d == nil {
 			f.demand = s.assumedDemand(f)
 		} else {
-			f.known = true
-			f.age = d.Age
-			f.demand = d.RPS * (1 + max(d.Margin, 0)) * (1 + staleWidening(d.Age))
+			f.demandKnown = true
+			f.demandAge = d.Age
+			f.demand = d.RPS * (1 + max(d.Margin, 0)) * (1 + staleMarginAt(d.Age))
 		}
 		s.totalRPS += f.demand
 	}
@@ -37,29 +37,28 @@
 	}
 }
 
-// assumedDemand stands for a flow nobody measured, because missing is not
-// zero: what its own region carries with its headroom free, or an even part of
-// all places if its region has none. A first plan made from it stays near the
-// callers; an even part of all would pass what a small region carries and send
-// callers to far places, from which they return only as fast as the move cap
-// lets them.
+// assumedDemand estimates an unmeasured flow: the capacity of its own region up to
+// the target utilisation, or an even part of all capacity when its region has none.
+// An even part for every flow would exceed small regions and send callers far away,
+// from where the move cap lets them return only slowly.
 func (s *solver) assumedDemand(f *flow) float64 {
 	own, sum := 0.0, 0.0
 	for p := range s.cells[f.service] {
-		configured := s.cells[f.service][p].configured
+		configured := s.cells[f.service][p].configuredCapacity
 		sum += configured
 		if s.account.RegionOf(s.places[p].name) == f.caller {
 			own += configured
 		}
 	}
 	if own > 0 {
-		return own * s.target
+		return own * s.targetUtilisation
 	}
-	return sum * s.target * float64(len(s.account.Services)) / float64(len(s.flows))
+	return sum * s.targetUtilisation * float64(len(s.account.Services)) / float64(len(s.flows))
 }
 
-// staleWidening grows with the age of a measurement up to FreezeAge.
-func staleWidening(age time.Duration) float64 {
+// staleMarginAt returns the margin for the age of a measurement. It grows up to
+// FreezeAge.
+func staleMarginAt(age time.Duration) float64 {
 	if age <= freshAge {
 		return 0
 	}
--- a/steering/doc.go
+++ b/steering/doc.go
@@ -1,5 +1,4 @@
-// Package steering decides which share of each flow goes to which place. A
-// flow is the traffic of one service from callers of one region. Decide is
-// pure: it does no I/O, reads no clock and gives the same decision for the
-// same input.
+// Package steering decides which share of each flow goes to which place. A flow
+// is the traffic of one service from the callers of one region. Decide is a pure
+// function: it does no I/O, reads no clock and is deterministic.
 package steering
--- a/steering/drain.go
+++ b/steering/drain.go
@@ -7,16 +7,16 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// drainState is the planned stop of a place that concerns the present.
+// drainState is the active or next planned drain of a place.
 type drainState struct {
-	// shut tells that the place takes no more work, ended that its targets
-	// are gone.
-	shut, ended bool
-	planned     bool
-	schedule    model.Drain
+	// closed is set when the place takes no more traffic, ended when its targets
+	// have stopped.
+	closed, ended bool
+	planned       bool
+	schedule      model.Drain
 }
 
-// drainOf returns the first drain of a place that is not over.
+// drainOf returns the earliest drain of a place that is not over.
 func drainOf(drains []model.Drain, place model.PlaceName, now time.Time) drainState {
 	var state drainState
 	for _, d := range drains {
@@ -29,42 +29,42 @@
 		state = drainState{planned: true, schedule: d}
 	}
 	if state.planned {
-		state.shut = !now.Before(state.schedule.Start)
+		state.closed = !now.Before(state.schedule.Start)
 		state.ended = !now.Before(state.schedule.End)
 	}
 	return state
 }
 
-// shutEarly shuts a place before its drain starts when the cap needs longer to
-// empty it than the drain lasts.
-func (s *solver) shutEarly() {
+// closeEarly closes a place before its drain starts when the move cap needs more
+// time to empty it than the drain lasts.
+func (s *solver) closeEarly() {
 	for p := range s.places {
 		d := &s.places[p].drain
-		if !d.planned || d.shut {
+		if !d.planned || d.closed {
 			continue
 		}
 		for i := range s.flows {
-			begin := d.schedule.End.Add(-s.emptyingTime(&s.flows[i], p))
+			begin := d.schedule.End.Add(-s.drainDuration(&s.flows[i], p))
 			if !s.in.Now.Before(begin) {
-				d.shut = true
+				d.closed = true
 			}
 		}
 	}
 }
 
-// emptyingTime is how long the cap needs for a flow to leave a place: each cap
-// full of it takes a window, and a part more for other moves.
-func (s *solver) emptyingTime(f *flow, place int) time.Duration {
+// drainDuration returns the time the move cap needs to empty a place of a flow,
+// with a margin for other moves.
+func (s *solver) drainDuration(f *flow, place int) time.Duration {
 	if f.shares[place] == 0 || s.capPPM == 0 {
 		return 0
 	}
 	caps := (int64(f.shares[place]) + s.capPPM - 1) / s.capPPM
-	return time.Duration(float64(caps) * float64(s.account.Moves.Window) * (1 + drainSlack))
+	return time.Duration(float64(caps) * float64(s.account.Moves.Window) * (1 + drainMargin))
 }
 
-// leftAtEnd returns the part of a flow that the cap leaves in a draining place
-// at the end, and how much later it will be gone.
-func (s *solver) leftAtEnd(f *flow, place int) (float64, time.Duration) {
+// remainingAtEnd returns the part of a flow that the move cap leaves in a draining
+// place at the end of the drain, and how much later the place will be empty.
+func (s *solver) remainingAtEnd(f *flow, place int) (float64, time.Duration) {
 	if s.capPPM == 0 {
 		return float64(f.shares[place]) / plan.Whole, s.account.Moves.Window
 	}
--- a/steering/exchange.go
+++ b/steering/exchange.go
@@ -6,36 +6,36 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// maxRounds bounds the work of one decision. Each round moves at most one
-// quantum of each flow, so a whole plan may be turned over within it.
+// maxRounds bounds the work of one decision. Each round moves at most one quantum
+// of each flow, so the limit allows moving all of a flow.
 const maxRounds = 2 * plan.Whole / quantum
 
-// exchangeForced moves work that must leave, one quantum of each flow in turn,
-// so that no flow takes all the room there is.
-func (s *solver) exchangeForced() {
-	s.rounds(s.forcedStep)
+// makeForcedMoves moves traffic that must leave its place. Flows take turns, one
+// quantum each, so that no flow takes all spare capacity.
+func (s *solver) makeForcedMoves() {
+	s.repeatRounds(s.forcedMove)
 }
 
-// exchangeForGain moves work to cheaper places: first out of those above
-// their target, with all of the cap, then any.
-func (s *solver) exchangeForGain() {
-	s.rounds(s.reliefStep)
-	s.limitOptional()
-	s.rounds(s.gainStep)
+// makeOptionalMoves moves traffic to cheaper places: first out of places above
+// their target utilisation, with all of the cap, then in general.
+func (s *solver) makeOptionalMoves() {
+	s.repeatRounds(s.reliefMove)
+	s.limitOptionalBudget()
+	s.repeatRounds(s.optionalMove)
 }
 
-func (s *solver) limitOptional() {
+func (s *solver) limitOptionalBudget() {
 	for i := range s.flows {
 		f := &s.flows[i]
-		if f.fresh {
+		if f.isNew {
 			continue
 		}
-		optional := int64(float64(s.capPPM)*optionalPart) - f.moved - f.spent
+		optional := int64(float64(s.capPPM)*optionalMoveShare) - f.movedInWindow - f.movedNow
 		f.budget = min(f.budget, max(optional, 0))
 	}
 }
 
-func (s *solver) rounds(step func(f *flow) bool) {
+func (s *solver) repeatRounds(step func(f *flow) bool) {
 	for range maxRounds {
 		moved := false
 		for i := range s.flows {
@@ -50,9 +50,9 @@
 	}
 }
 
-// forcedStep moves one quantum of a flow out of the place it most needs to
-// leave, and reports whether it could.
-func (s *solver) forcedStep(f *flow) bool {
+// forcedMove moves one quantum of a flow out of the place with the most urgent
+// cause, and reports whether it could.
+func (s *solver) forcedMove(f *flow) bool {
 	from, cause, leave := -1, KindNone, 0.0
 	worst := math.Inf(-1)
 	for p, share := range f.shares {
@@ -63,7 +63,7 @@
 		if kind == KindNone {
 			continue
 		}
-		if urgency := urgencyOf(kind)*forcedCost + s.cost(f, p, 0); urgency > worst {
+		if urgency := priorityOf(kind)*forcedMoveCost + s.cost(f, p, 0); urgency > worst {
 			worst, from, cause, leave = urgency, p, kind, rps
 		}
 	}
@@ -74,12 +74,12 @@
 	if to < 0 {
 		return false
 	}
-	return s.exchange(f, from, to, s.partOf(f, leave), cause)
+	return s.moveShare(f, from, to, s.shareForRPS(f, leave), cause)
 }
 
-// urgencyOf orders the causes: work in a dead place is refused, work in a full
-// one only in part, work in a draining one is still served.
-func urgencyOf(kind Kind) float64 {
+// priorityOf orders the causes of forced moves. A failed place serves no requests,
+// an overloaded one rejects some, a draining one still serves all.
+func priorityOf(kind Kind) float64 {
 	switch kind {
 	case KindFailure, KindRemoved:
 		return 3
@@ -90,9 +90,9 @@
 	}
 }
 
-// partOf turns requests/s of a flow into a share, rounded up so that the rest
-// does not stay for ever.
-func (s *solver) partOf(f *flow, rps float64) uint32 {
+// shareForRPS converts requests/s of a flow to a share of at most one quantum. It
+// rounds up so that no remainder stays behind.
+func (s *solver) shareForRPS(f *flow, rps float64) uint32 {
 	if f.demand <= 0 {
 		return quantum
 	}
@@ -100,21 +100,21 @@
 	return uint32(min(max(part, 1), quantum))
 }
 
-// reliefStep is a gainStep out of a place that is above its target. A rush
-// grows while the window turns: with half of the cap only, it fills the place
-// before enough has left.
-func (s *solver) reliefStep(f *flow) bool {
-	from := s.dearest(f)
-	if from < 0 || s.utilisation(f, from) <= s.target {
+// reliefMove is an optionalMove out of a place above its target utilisation. It may
+// use all of the cap, because a sudden rise in demand can fill the place within a
+// window.
+func (s *solver) reliefMove(f *flow) bool {
+	from := s.mostExpensive(f)
+	if from < 0 || s.utilisation(f, from) <= s.targetUtilisation {
 		return false
 	}
-	return s.gainStep(f)
+	return s.optionalMove(f)
 }
 
-// gainStep moves one quantum of a flow from its dearest place to its cheapest
-// one when that gains more than the dead band.
-func (s *solver) gainStep(f *flow) bool {
-	from := s.dearest(f)
+// optionalMove moves one quantum of a flow from its most expensive place to the
+// cheapest one when that saves more than the dead band.
+func (s *solver) optionalMove(f *flow) bool {
+	from := s.mostExpensive(f)
 	if from < 0 {
 		return false
 	}
@@ -129,10 +129,10 @@
 	if s.latencyMS(f, to) < s.latencyMS(f, from) {
 		cause = KindLatency
 	}
-	return s.exchange(f, from, to, quantum, cause)
+	return s.moveShare(f, from, to, quantum, cause)
 }
 
-func (s *solver) dearest(f *flow) int {
+func (s *solver) mostExpensive(f *flow) int {
 	dearest, highest := -1, math.Inf(-1)
 	for p, share := range f.shares {
 		if share == 0 {
@@ -145,8 +145,8 @@
 	return dearest
 }
 
-// cheapest returns the place with room where one more quantum costs least,
-// and that cost, or -1.
+// cheapest returns the place with spare capacity where one more quantum costs
+// least, and that cost. The place is -1 when there is none.
 func (s *solver) cheapest(f *flow, from int) (int, float64) {
 	extra := f.rps(quantum)
 	cheapest, lowest := -1, math.Inf(1)
@@ -154,24 +154,24 @@
 		if p == from {
 			continue
 		}
-		if cost := s.cost(f, p, extra); cost < lowest && s.hasRoom(f, from, p) {
+		if cost := s.cost(f, p, extra); cost < lowest && s.hasSpareCapacity(f, from, p) {
 			cheapest, lowest = p, cost
 		}
 	}
 	return cheapest, lowest
 }
 
-// hasRoom reports whether at least leastFit fits.
-func (s *solver) hasRoom(f *flow, from, to int) bool {
-	r := s.roomFor(f, from, to)
-	return r.kind == KindNone || r.rps > 0 && r.rps >= f.rps(leastFit)
+// hasSpareCapacity reports whether at least minFit of a flow fits.
+func (s *solver) hasSpareCapacity(f *flow, from, to int) bool {
+	r := s.spareCapacityFor(f, from, to)
+	return r.kind == KindNone || r.rps > 0 && r.rps >= f.rps(minFit)
 }
 
-// exchange moves a part of a flow, as far as the budget, the share and the
-// room go, and reports whether anything moved.
-func (s *solver) exchange(f *flow, from, to int, part uint32, cause Kind) bool {
+// moveShare moves part of a flow, limited by the budget, the share and the spare
+// capacity, and reports whether anything moved.
+func (s *solver) moveShare(f *flow, from, to int, part uint32, cause Kind) bool {
 	part = min(part, f.shares[from], uint32(f.budget))
-	if r := s.roomFor(f, from, to); f.rps(part) > r.rps {
+	if r := s.spareCapacityFor(f, from, to); f.rps(part) > r.rps {
 		part = uint32(r.rps / f.demand * plan.Whole)
 	}
 	if part == 0 {
@@ -182,12 +182,12 @@
 	f.shares[to] += part
 	s.addLoad(f, from, -rps)
 	s.addLoad(f, to, rps)
-	s.cells[f.service][to].raised += rps
+	s.cells[f.service][to].stepIncrease += rps
 	if cause == KindSlow {
 		s.cells[f.service][from].backoff -= rps
 	}
 	f.budget -= int64(part)
-	f.spent += int64(part)
+	f.movedNow += int64(part)
 	f.causes[from] = cause
 	f.causes[to] = cause
 	return true
--- a/steering/failure_test.go
+++ b/steering/failure_test.go
@@ -7,14 +7,13 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// A place whose targets go and come pulls work in and throws it out each time:
-// callers are refused again and again. Each failure after a return doubles the
-// time the place stays out.
-func TestFlappingPlaceIsUsedLessAndLess(t *testing.T) {
-	in := inputOf(accountOf(2, 2, 1), 0.3)
+// Each failure after a return doubles the hold-down, so traffic rarely returns to a
+// flapping place.
+func TestFlappingPlaceHoldDownDoubles(t *testing.T) {
+	in := newInput(newAccount(2, 2, 1), 0.3)
 	in.Account.Moves = model.MoveLimits{Share: 1, Window: 10 * time.Second}
 	first := in.Account.Places[0].Name
-	decisions := follow(in, 3600, func(in *Input, second int) {
+	decisions := simulate(in, 3600, func(in *Input, second int) {
 		s := stateOf(in, first)
 		s.Usable = 10
 		if second > 10 && second/20%2 == 0 {
@@ -30,16 +29,16 @@
 			}
 		}
 	}
-	t.Logf("%d returns", returns)
+	t.Logf("traffic returned %d times", returns)
 	if returns > 12 {
-		t.Fatalf("work returned %d times to a place that failed 90 times", returns)
+		t.Fatalf("traffic returned %d times to a place that failed 90 times, want at most 12", returns)
 	}
 }
 
-// The targets of a place are just back. They serve what the cap has left there,
-// but that goes on leaving, and nothing is added.
-func TestUnsteadyTargetsServeButHoldNothing(t *testing.T) {
-	in := inputOf(accountOf(2, 2, 1), 0.3)
+// Recently recovered targets serve the traffic still in the place, but it keeps
+// leaving and none is added.
+func TestUnstableTargetsServeButAttractNoTraffic(t *testing.T) {
+	in := newInput(newAccount(2, 2, 1), 0.3)
 	in.Previous = Decide(in).Plan
 	s := stateOf(&in, in.Account.Places[0].Name)
 	s.Unstable = s.Usable
@@ -49,10 +48,10 @@
 	}
 }
 
-// The health of a place reads well and its latency too, while most of what is
-// sent there fails. The nodes' own traffic decides.
-func TestLyingHealthIsNotBelieved(t *testing.T) {
-	in := inputOf(accountOf(2, 2, 1), 0.3)
+// Failures of forwarded requests take precedence over healthy targets and a low
+// latency.
+func TestFailureShareOverridesHealth(t *testing.T) {
+	in := newInput(newAccount(2, 2, 1), 0.3)
 	in.Previous = Decide(in).Plan
 	s := stateOf(&in, in.Account.Places[0].Name)
 	s.FailureShare = 0.8
@@ -69,11 +68,9 @@
 	}
 }
 
-// A release that fails most requests goes out everywhere. Taken for a failure of
-// the places, it would shut all of them and refuse the requests that still
-// succeed, and move the rest in circles.
-func TestFailureEverywhereShutsNothing(t *testing.T) {
-	in := inputOf(accountOf(2, 2, 1), 0.3)
+// A failure that affects all places alike closes none of them and moves no traffic.
+func TestUniformFailureClosesNoPlace(t *testing.T) {
+	in := newInput(newAccount(2, 2, 1), 0.3)
 	in.Previous = Decide(in).Plan
 	for i := range in.Places {
 		in.Places[i].FailureShare = 0.6 + 0.1*float64(i%2)
@@ -84,11 +81,10 @@
 	}
 }
 
-// A third of the requests to one place fails, in the others none. Callers lose
-// orders for as long as work stays; it leaves, and what is still there is
-// served, since most of it succeeds.
-func TestPoorPlaceIsLeftButServes(t *testing.T) {
-	in := inputOf(accountOf(2, 2, 1), 0.3)
+// Traffic leaves a place where a third of the requests fails, but the place keeps
+// its capacity for the traffic still there.
+func TestDegradedPlaceIsEmptiedButServes(t *testing.T) {
+	in := newInput(newAccount(2, 2, 1), 0.3)
 	in.Previous = Decide(in).Plan
 	stateOf(&in, in.Account.Places[0].Name).FailureShare = 0.3
 	d := Decide(in)
@@ -97,17 +93,17 @@
 	}
 }
 
-// While work is held back in a dead place, nothing moves for gain: it would
-// use up the cap the dead place needs.
-func TestNoGainWhileWorkIsHeldBack(t *testing.T) {
-	a := accountOf(2, 2, 1)
-	in := inputOf(a, 0.5)
-	in.Previous = onlyIn(a, a.Places[0].Name)
+// Optional moves must not use the cap while traffic is still held back in a failed
+// place.
+func TestNoOptionalMovesWhileForcedMovesPending(t *testing.T) {
+	a := newAccount(2, 2, 1)
+	in := newInput(a, 0.5)
+	in.Previous = planWithFirstRegionIn(a, a.Places[0].Name)
 	in.Previous.Flows[1].Shares[0].Place = a.Places[2].Name
 	stateOf(&in, a.Places[0].Name).Usable = 0
 	for _, m := range Decide(in).Moves {
 		if m.Cause != KindFailure {
-			t.Fatalf("moved for gain: %+v", m)
+			t.Fatalf("optional move: %+v", m)
 		}
 	}
 }
--- a/steering/fixture_test.go
+++ b/steering/fixture_test.go
@@ -10,9 +10,9 @@
 
 var testNow = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
 
-// accountOf builds an account of regions with places in each, 1000 requests/s
-// a place and service.
-func accountOf(regions, places, services int) *model.Account {
+// newAccount returns an account with the given numbers of regions, places per region
+// and services. Each service has 1000 requests/s in each place.
+func newAccount(regions, places, services int) *model.Account {
 	a := &model.Account{
 		Name:   "daehan",
 		Moves:  model.MoveLimits{Share: 0.1, Window: time.Minute},
@@ -45,9 +45,9 @@
 	return a
 }
 
-// inputOf gives every flow a part of its region's capacity and every place a
-// fresh, healthy state.
-func inputOf(a *model.Account, part float64) Input {
+// newInput gives every flow a part of its region's capacity and every place a fresh,
+// healthy state.
+func newInput(a *model.Account, part float64) Input {
 	in := Input{Account: a, Now: testNow, Epoch: 1, Sequence: 1}
 	perRegion := len(a.Places) / len(a.Regions)
 	for _, s := range a.Services {
@@ -83,9 +83,9 @@
 	return 0
 }
 
-// follow decides again and again as a decider would, a second apart, until
-// stop returns true or the seconds are over, and returns the decisions.
-func follow(in Input, seconds int, change func(in *Input, second int)) []Decision {
+// simulate makes one decision a second for the given time and returns all decisions.
+// change may modify the input before each one.
+func simulate(in Input, seconds int, change func(in *Input, second int)) []Decision {
 	var decisions []Decision
 	var made []time.Time
 	var moved []Move
--- a/steering/flow.go
+++ b/steering/flow.go
@@ -7,31 +7,31 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// flow is one flow in the making.
+// flow is the working state of one flow.
 type flow struct {
 	service int
 	caller  model.RegionName
-	// region is the index of the caller's region, -1 for one without places.
+	// region is the index of the caller's region, or -1 for one without places.
 	region int
-	// demand includes the margins, requests/s.
+	// demand includes the margins, in requests/s.
 	demand float64
 	// weight is the flow's part of the account's traffic, 0 to 1.
 	weight float64
-	// age is that of the demand; known is false without one.
-	age   time.Duration
-	known bool
+	// demandAge is the age of the measured demand. demandKnown is false without one.
+	demandAge   time.Duration
+	demandKnown bool
 	// delayMS[region] is the round trip from the callers.
 	delayMS []float64
-	// before and shares are indexed by place, parts per million.
-	before, shares []uint32
-	// fresh tells that the flow has no previous shares: all of it is placed.
-	fresh bool
-	// moved is what moved within the window, with what is charged for nodes
-	// out of step, and budget what may still move in this decision.
-	moved, budget int64
-	// spent is what this decision moved.
-	spent int64
-	// causes[place] is why its share changed.
+	// previous and shares are indexed by place, in parts per million.
+	previous, shares []uint32
+	// isNew is set when the flow has no previous shares.
+	isNew bool
+	// movedInWindow is the share moved within the window, plus the charge for
+	// lagging nodes. budget is the share that may still move in this decision.
+	movedInWindow, budget int64
+	// movedNow is the share moved by this decision.
+	movedNow int64
+	// causes[place] is the cause of the last change of its share.
 	causes []Kind
 }
 
@@ -39,11 +39,10 @@
 	return f.demand * float64(share) / plan.Whole
 }
 
-// frozen reports a flow whose demand is too old, or was never known, for any
-// increase. A flow that has no shares yet is placed all the same: its callers
-// would get no answer at all.
+// frozen reports whether the demand is too old, or unknown, for any increase. A
+// new flow is never frozen, since its callers would get no answer.
 func (f *flow) frozen() bool {
-	return !f.fresh && (!f.known || f.age >= FreezeAge)
+	return !f.isNew && (!f.demandKnown || f.demandAge >= FreezeAge)
 }
 
 // addFlows adds a flow for each service and caller region.
@@ -62,7 +61,7 @@
 		delays := s.delaysFrom(caller)
 		for i := range s.account.Services {
 			f := flow{service: i, caller: caller, region: s.regionIndex(caller), delayMS: delays}
-			f.before, f.shares = take(), take()
+			f.previous, f.shares = take(), take()
 			f.causes, causes = causes[:len(s.places)], causes[len(s.places):]
 			s.readPrevious(&f)
 			s.flows = append(s.flows, f)
@@ -71,8 +70,8 @@
 	s.readDemand()
 }
 
-// callerRegions lists the regions callers are in: those of the account, then
-// others that only caller blocks name.
+// callerRegions lists the regions of callers: those of the account, then those
+// that only appear in caller blocks or caller regions.
 func callerRegions(account *model.Account) []model.RegionName {
 	var names []model.RegionName
 	seen := make(map[model.RegionName]bool)
@@ -129,7 +128,7 @@
 }
 
 func (s *solver) readPrevious(f *flow) {
-	f.fresh = true
+	f.isNew = true
 	if s.in.Previous == nil {
 		return
 	}
@@ -137,9 +136,9 @@
 	if old == nil || len(old.Shares) == 0 {
 		return
 	}
-	f.fresh = false
+	f.isNew = false
 	for _, share := range old.Shares {
-		f.before[s.index[share.Place]] += share.PPM
+		f.previous[s.placeIndex[share.Place]] += share.PPM
 	}
-	copy(f.shares, f.before)
+	copy(f.shares, f.previous)
 }
--- a/steering/forced.go
+++ b/steering/forced.go
@@ -1,22 +1,22 @@
 package steering
 
-// mustLeave returns why work of a flow has to leave a place and how much of
-// it, requests/s; KindNone when it may stay.
+// mustLeave returns why and how much traffic of a flow must leave a place, in
+// requests/s, or KindNone when it may stay.
 func (s *solver) mustLeave(f *flow, place int) (Kind, float64) {
 	held := f.rps(f.shares[place])
 	c := &s.cells[f.service][place]
 	switch {
-	case c.configured <= 0 || s.places[place].region < 0:
+	case c.configuredCapacity <= 0 || s.places[place].region < 0:
 		return KindRemoved, held
-	case c.failed() || c.poor():
+	case c.failed() || c.degraded():
 		return KindFailure, held
-	case s.places[place].drain.shut:
+	case s.places[place].drain.closed:
 		return KindDrain, held
 	}
-	if over := c.load - c.usable; over > tolerance(c.usable) {
-		return c.overCause(), min(held, over)
+	if over := c.load - c.stableCapacity; over > tolerance(c.stableCapacity) {
+		return c.overloadCause(), min(held, over)
 	}
-	if kind, over := s.regionOver(f, place); kind != KindNone {
+	if kind, over := s.regionOverload(f, place); kind != KindNone {
 		return kind, min(held, over)
 	}
 	if c.backoff > 0 {
@@ -25,16 +25,16 @@
 	return KindNone, 0
 }
 
-// overCause tells a place that lost targets from one that is asked too much:
-// work does not return to the first at once.
-func (c *cell) overCause() Kind {
-	if c.usable < c.configured {
+// overloadCause distinguishes a cell that lost targets from one with too much
+// demand. Only the former starts a hold-down.
+func (c *cell) overloadCause() Kind {
+	if c.stableCapacity < c.configuredCapacity {
 		return KindFailure
 	}
 	return KindCapacity
 }
 
-func (s *solver) regionOver(f *flow, place int) (Kind, float64) {
+func (s *solver) regionOverload(f *flow, place int) (Kind, float64) {
 	region := s.places[place].region
 	r := &s.regions[region]
 	if over := r.load - r.capacity; over > tolerance(r.capacity) {
@@ -49,14 +49,13 @@
 	return KindNone, 0
 }
 
-// tolerance is how far a sum of loads may pass a capacity by rounding alone,
-// requests/s.
+// tolerance is the rounding error allowed in a sum of loads, in requests/s.
 func tolerance(capacity float64) float64 {
-	return capacity * rounding
+	return capacity * roundingError
 }
 
-// heldBack reports whether work that must leave a place is still there.
-func (s *solver) heldBack() bool {
+// forcedMovesPending reports whether traffic that must leave a place is still there.
+func (s *solver) forcedMovesPending() bool {
 	for i := range s.flows {
 		f := &s.flows[i]
 		for p, share := range f.shares {
--- a/steering/limits.go
+++ b/steering/limits.go
@@ -1,31 +1,31 @@
 package steering
 
-// limits lists what each cell may do. Loads over a capacity, of a place, a
-// region or a link, are cut down to it: what is cut is refused.
+// limits returns the limit of each cell. Loads above the capacity of a place, a
+// region or a link are scaled down to it, and the excess is rejected.
 func (s *solver) limits() []Limit {
-	local, remote := s.allowedLoads()
-	s.cutRegions(local, remote)
+	local, remote := s.cappedLoads()
+	s.limitByRegions(local, remote)
 	limits := make([]Limit, 0, len(s.cells)*len(s.places))
 	for i := range s.cells {
 		for p := range s.cells[i] {
 			c := &s.cells[i][p]
-			if c.configured <= 0 || s.places[p].region < 0 {
+			if c.configuredCapacity <= 0 || s.places[p].region < 0 {
 				continue
 			}
 			limits = append(limits, Limit{
 				Service:    s.account.Services[i].Name,
 				Place:      s.places[p].name,
-				DesiredRPS: min(local[i][p]+remote[i][p], c.permitted),
-				UsableRPS:  c.permitted,
+				DesiredRPS: min(local[i][p]+remote[i][p], c.availableCapacity),
+				UsableRPS:  c.availableCapacity,
 			})
 		}
 	}
 	return limits
 }
 
-// allowedLoads returns the loads from callers of the place's own region and of
-// others, cut to the cells' capacities.
-func (s *solver) allowedLoads() (local, remote [][]float64) {
+// cappedLoads returns the loads from callers of the place's own region and from
+// other regions, scaled down to the capacity of each cell.
+func (s *solver) cappedLoads() (local, remote [][]float64) {
 	local = s.newLoads()
 	remote = s.newLoads()
 	for i := range s.flows {
@@ -40,7 +40,7 @@
 	}
 	for i := range s.cells {
 		for p := range s.cells[i] {
-			factor := cut(local[i][p]+remote[i][p], s.cells[i][p].permitted)
+			factor := scaleFactor(local[i][p]+remote[i][p], s.cells[i][p].availableCapacity)
 			local[i][p] *= factor
 			remote[i][p] *= factor
 		}
@@ -57,18 +57,19 @@
 	return loads
 }
 
-// cutRegions cuts first what the links carry, then all of a region.
-func (s *solver) cutRegions(local, remote [][]float64) {
+// limitByRegions scales loads down to the capacity of the links, then of the
+// regions.
+func (s *solver) limitByRegions(local, remote [][]float64) {
 	for r := range s.regions {
-		factor := cut(s.sumIn(r, remote), s.regions[r].linkCapacity)
-		s.scaleIn(r, remote, factor)
-		factor = cut(s.sumIn(r, remote)+s.sumIn(r, local), s.regions[r].capacity)
-		s.scaleIn(r, remote, factor)
-		s.scaleIn(r, local, factor)
+		factor := scaleFactor(s.regionSum(r, remote), s.regions[r].linkCapacity)
+		s.scaleRegion(r, remote, factor)
+		factor = scaleFactor(s.regionSum(r, remote)+s.regionSum(r, local), s.regions[r].capacity)
+		s.scaleRegion(r, remote, factor)
+		s.scaleRegion(r, local, factor)
 	}
 }
 
-func (s *solver) sumIn(region int, loads [][]float64) float64 {
+func (s *solver) regionSum(region int, loads [][]float64) float64 {
 	sum := 0.0
 	for i := range loads {
 		for p, load := range loads[i] {
@@ -80,7 +81,7 @@
 	return sum
 }
 
-func (s *solver) scaleIn(region int, loads [][]float64, factor float64) {
+func (s *solver) scaleRegion(region int, loads [][]float64, factor float64) {
 	if factor >= 1 {
 		return
 	}
@@ -93,8 +94,8 @@
 	}
 }
 
-// cut returns the factor that brings a load down to a capacity.
-func cut(load, capacity float64) float64 {
+// scaleFactor returns the factor that reduces a load to a capacity.
+func scaleFactor(load, capacity float64) float64 {
 	if load <= capacity || load <= 0 {
 		return 1
 	}
--- a/steering/main_test.go
+++ b/steering/main_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests; -rapid.seed takes another.
+// TestMain fixes the seed of the property tests to make runs reproducible.
+// -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "20260101"); err != nil {
 		panic(err)
 	}
-	// The seed tells all there is to reproduce.
+	// The seed is enough to reproduce a failure.
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
 		panic(err)
 	}
--- a/steering/moved.go
+++ b/steering/moved.go
@@ -5,34 +5,34 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// readMoves takes account of what was moved lately: the budget of each flow,
-// the steps of each cell and the hold-down after failures.
+// readMoves applies the recent moves to the budget of each flow and to the steps
+// and hold-downs of each cell.
 func (s *solver) readMoves() {
-	episodes := make(map[cellKey]*episode)
+	histories := make(map[cellKey]*failureHistory)
 	for i := range s.in.RecentMoves {
 		m := &s.in.RecentMoves[i]
 		s.chargeMove(m)
-		s.chargeCell(m, episodes)
+		s.recordCellMove(m, histories)
 	}
-	for key, e := range episodes {
+	for key, e := range histories {
 		service := s.serviceIndex(key.service)
-		place, ok := s.index[key.place]
+		place, ok := s.placeIndex[key.place]
 		if ok && service >= 0 {
 			c := &s.cells[service][place]
-			c.holdDown, c.failures = e.holdDown()
+			c.holdDown, c.failureCount = e.holdDown()
 		}
 	}
 	for i := range s.in.Lagging {
-		s.chargeBehind(&s.in.Lagging[i])
+		s.chargeLagging(&s.in.Lagging[i])
 	}
 	for i := range s.flows {
 		s.setBudget(&s.flows[i])
 	}
-	s.shutEarly()
+	s.closeEarly()
 	s.setBackoffs()
 }
 
-// chargeMove counts an increase against its flow.
+// chargeMove charges an increase to the budget of its flow.
 func (s *solver) chargeMove(m *Move) {
 	if m.Delta <= 0 || m.Age > s.account.Moves.Window {
 		return
@@ -40,7 +40,7 @@
 	s.charge(m.Service, m.Caller, int64(m.Delta))
 }
 
-func (s *solver) chargeBehind(b *LaggingShare) {
+func (s *solver) chargeLagging(b *LaggingShare) {
 	s.charge(b.Service, b.Caller, int64(b.PPM))
 }
 
@@ -48,14 +48,14 @@
 	for i := range s.flows {
 		f := &s.flows[i]
 		if service == s.account.Services[f.service].Name && caller == f.caller {
-			f.moved += ppm
+			f.movedInWindow += ppm
 		}
 	}
 }
 
 func (s *solver) setBudget(f *flow) {
-	f.budget = max(s.capPPM-f.moved, 0)
-	if f.fresh {
+	f.budget = max(s.capPPM-f.movedInWindow, 0)
+	if f.isNew {
 		f.budget = plan.Whole
 	}
 }
--- a/steering/place.go
+++ b/steering/place.go
@@ -6,20 +6,20 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// place gives shares to flows that have none, one quantum of each in turn.
-func (s *solver) place() {
+// placeNewFlows assigns shares to new flows, one quantum of each in turn.
+func (s *solver) placeNewFlows() {
 	for range maxRounds / 2 {
 		for i := range s.flows {
 			f := &s.flows[i]
-			if f.fresh {
+			if f.isNew {
 				s.placeQuantum(f)
 			}
 		}
 	}
 	for i := range s.flows {
 		f := &s.flows[i]
-		if f.fresh {
-			s.fillUp(f)
+		if f.isNew {
+			s.placeRemainder(f)
 		}
 	}
 }
@@ -30,16 +30,16 @@
 		return
 	}
 	part := uint32(quantum)
-	if r := s.roomFor(f, -1, to); f.rps(part) > r.rps {
+	if r := s.spareCapacityFor(f, -1, to); f.rps(part) > r.rps {
 		part = uint32(r.rps / f.demand * plan.Whole)
 	}
-	s.grow(f, to, part)
+	s.addShare(f, to, part)
 }
 
-// fillUp brings the shares to the whole when there was no room for all of the
-// demand: the rest follows the shares placed, or the cheapest place that is
-// not closed, and is refused there by the limits.
-func (s *solver) fillUp(f *flow) {
+// placeRemainder brings the shares up to the whole when the demand exceeds the
+// capacity. The remainder goes to the places already used, in proportion, or to
+// the cheapest one that is not blocked, where the limits reject the excess.
+func (s *solver) placeRemainder(f *flow) {
 	placed := uint64(0)
 	largest := -1
 	for p, share := range f.shares {
@@ -49,7 +49,7 @@
 		}
 	}
 	if placed == 0 {
-		largest = s.cheapestOpen(f)
+		largest = s.cheapestUnblocked(f)
 	}
 	if largest < 0 || placed >= plan.Whole {
 		return
@@ -62,20 +62,20 @@
 		}
 		part := missing * uint64(share) / placed
 		rest -= part
-		s.grow(f, p, uint32(part))
+		s.addShare(f, p, uint32(part))
 	}
-	s.grow(f, largest, uint32(rest))
+	s.addShare(f, largest, uint32(rest))
 }
 
-func (s *solver) grow(f *flow, place int, part uint32) {
+func (s *solver) addShare(f *flow, place int, part uint32) {
 	f.shares[place] += part
 	s.addLoad(f, place, f.rps(part))
 }
 
-func (s *solver) cheapestOpen(f *flow) int {
+func (s *solver) cheapestUnblocked(f *flow) int {
 	open, lowest := -1, math.Inf(1)
 	for p := range s.places {
-		if s.closed(f, p) != KindNone {
+		if s.blockedBy(f, p) != KindNone {
 			continue
 		}
 		if cost := s.cost(f, p, 0); cost < lowest {
--- a/steering/property_test.go
+++ b/steering/property_test.go
@@ -11,10 +11,10 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// drawInput draws an account with any mix of load, failures, old and missing
-// measurements, drains, moves lately and a previous plan.
+// drawInput draws an account with any mix of loads, failures, stale or missing
+// measurements, recent moves and a previous plan.
 func drawInput(t *rapid.T) Input {
-	a := accountOf(rapid.IntRange(1, 4).Draw(t, "regions"), rapid.IntRange(1, 3).Draw(t, "places"), rapid.IntRange(1, 2).Draw(t, "services"))
+	a := newAccount(rapid.IntRange(1, 4).Draw(t, "regions"), rapid.IntRange(1, 3).Draw(t, "places"), rapid.IntRange(1, 2).Draw(t, "services"))
 	a.Moves.Share = rapid.Float64Range(0, 1).Draw(t, "cap")
 	a.Policy.LatencyWeight = rapid.Float64Range(0, 1).Draw(t, "latency weight")
 	a.Policy.HeadroomWeight = 1 - a.Policy.LatencyWeight
@@ -23,13 +23,13 @@
 		a.Regions[i].CapacityRPS *= rapid.Float64Range(0.1, 1).Draw(t, "region")
 		a.Regions[i].LinkInRPS *= rapid.Float64Range(0, 1).Draw(t, "link")
 	}
-	first := inputOf(a, rapid.Float64Range(0.1, 1).Draw(t, "load before"))
-	in := inputOf(a, rapid.Float64Range(0, 2).Draw(t, "load"))
+	first := newInput(a, rapid.Float64Range(0.1, 1).Draw(t, "load before"))
+	in := newInput(a, rapid.Float64Range(0, 2).Draw(t, "load"))
 	if rapid.IntRange(0, 9).Draw(t, "first") > 0 {
 		in.Previous = Decide(first).Plan
 	}
 	if rapid.Bool().Draw(t, "removed") {
-		// The previous plan names a place that is gone.
+		// The previous plan contains a place that was removed.
 		a.Places = a.Places[1:]
 	}
 	for i := range in.Places {
@@ -69,15 +69,14 @@
 	}
 }
 
-// Whatever is measured, and however wrongly: a decision raises no load that is
-// at or over a capacity, raises nothing towards a place that fails, is shut or
-// is not seen, and moves no more than the cap leaves.
-func TestDecisionKeepsEveryLimit(t *testing.T) {
+// For any input, a decision increases no load above a capacity, sends no more to
+// failing, closed or stale places and respects the move cap.
+func TestDecisionRespectsLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := drawInput(t)
 		d := Decide(in)
 		if diff := cmp.Diff(d, Decide(in)); diff != "" {
-			t.Fatalf("the same input gave two decisions:\n%s", diff)
+			t.Fatalf("the same input gave different decisions:\n%s", diff)
 		}
 		checkShares(t, &d)
 		checkMoves(t, &in, &d)
@@ -93,7 +92,7 @@
 		last := model.PlaceName("")
 		for _, s := range f.Shares {
 			if s.Place <= last || s.PPM == 0 {
-				t.Fatalf("%s from %s: shares %v", f.Service, f.Caller, f.Shares)
+				t.Fatalf("%s from %s: shares are zero or not sorted by place: %v", f.Service, f.Caller, f.Shares)
 			}
 			last = s.Place
 			sum += s.PPM
@@ -122,13 +121,13 @@
 			}
 		}
 		if now > max(0, limit-lately) {
-			t.Fatalf("%s from %s moved %d ppm after %d, cap %d", f.Service, f.Caller, now, lately, limit)
+			t.Fatalf("%s from %s moved %d ppm after %d ppm within the window, cap %d", f.Service, f.Caller, now, lately, limit)
 		}
 	}
 }
 
-// loads sums what shares ask for at the widened demand.
-func loads(in *Input, p *plan.Plan) *solver {
+// solverFor returns a solver with the loads of a plan at the widened demand.
+func solverFor(in *Input, p *plan.Plan) *solver {
 	copied := *in
 	copied.Previous = p
 	return newSolver(&copied)
@@ -138,22 +137,22 @@
 	if in.Previous == nil {
 		return
 	}
-	before, after := loads(in, in.Previous), loads(in, d.Plan)
+	before, after := solverFor(in, in.Previous), solverFor(in, d.Plan)
 	const rounding = 1e-3
 	for i := range after.cells {
 		for p := range after.cells[i] {
 			c := &after.cells[i][p]
-			if c.load > max(before.cells[i][p].load, c.usable)+rounding {
-				t.Fatalf("%s raised from %f to %f of %f", after.places[p].name, before.cells[i][p].load, c.load, c.usable)
+			if c.load > max(before.cells[i][p].load, c.stableCapacity)+rounding {
+				t.Fatalf("%s: load increased from %f to %f, capacity %f", after.places[p].name, before.cells[i][p].load, c.load, c.stableCapacity)
 			}
 		}
 	}
 	for i, r := range after.regions {
 		if r.load > max(before.regions[i].load, r.capacity)+rounding {
-			t.Fatalf("region %s raised from %f to %f of %f", r.name, before.regions[i].load, r.load, r.capacity)
+			t.Fatalf("region %s: load increased from %f to %f, capacity %f", r.name, before.regions[i].load, r.load, r.capacity)
 		}
 		if r.linkLoad > max(before.regions[i].linkLoad, r.linkCapacity)+rounding {
-			t.Fatalf("link into %s raised from %f to %f of %f", r.name, before.regions[i].linkLoad, r.linkLoad, r.linkCapacity)
+			t.Fatalf("link into %s: load increased from %f to %f, capacity %f", r.name, before.regions[i].linkLoad, r.linkLoad, r.linkCapacity)
 		}
 	}
 }
@@ -167,7 +166,7 @@
 		}
 		for _, demand := range in.Demand {
 			if demand.Service == m.Service && demand.Caller == m.Caller && demand.Age >= FreezeAge {
-				t.Fatalf("moved a flow that was measured %v ago", demand.Age)
+				t.Fatalf("moved a flow with a demand measured %v ago", demand.Age)
 			}
 			if demand.Service == m.Service && demand.Caller == m.Caller {
 				raised[cellKey{m.Service, m.Place}] += demand.RPS * float64(m.Delta) / plan.Whole
@@ -178,14 +177,14 @@
 				continue
 			}
 			if state.Usable == state.Unstable || state.FailureShare >= failingShare || state.Age >= FreezeAge || state.P99 > state.WarmP99*3/2 {
-				t.Fatalf("raised %s in state %+v", m.Place, state)
+				t.Fatalf("increased %s in state %+v", m.Place, state)
 			}
 		}
 	}
 	for key, rps := range raised {
-		c := &s.cells[s.serviceIndex(key.service)][s.index[key.place]]
-		if rps > max(0, c.stepRoom())+1e-3 {
-			t.Fatalf("%s raised by %f in a step of %f", key.place, rps, c.stepRoom())
+		c := &s.cells[s.serviceIndex(key.service)][s.placeIndex[key.place]]
+		if rps > max(0, c.remainingStep())+1e-3 {
+			t.Fatalf("%s increased by %f requests/s, remaining step %f", key.place, rps, c.remainingStep())
 		}
 	}
 }
@@ -194,13 +193,13 @@
 	sums := make(map[model.RegionName]float64)
 	for _, l := range d.Limits {
 		if l.DesiredRPS > l.UsableRPS+1e-6 || l.UsableRPS > in.Account.Service(l.Service).CapacityAt(l.Place) {
-			t.Fatalf("limit %+v", l)
+			t.Fatalf("limit above the capacity: %+v", l)
 		}
 		sums[in.Account.RegionOf(l.Place)] += l.DesiredRPS
 	}
 	for _, r := range in.Account.Regions {
 		if sums[r.Name] > r.CapacityRPS+1e-6 {
-			t.Fatalf("region %s is asked for %f of %f", r.Name, sums[r.Name], r.CapacityRPS)
+			t.Fatalf("region %s: limits add up to %f, capacity %f", r.Name, sums[r.Name], r.CapacityRPS)
 		}
 	}
 }
--- a/steering/solver.go
+++ b/steering/solver.go
@@ -7,35 +7,35 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// solver holds one decision in the making. Places, regions and services are
+// solver holds the working state of one decision. Places, regions and services are
 // indexed by their order in the account.
 type solver struct {
-	in      *Input
-	account *model.Account
-	places  []placeInfo
-	// index finds a place by its name.
-	index   map[model.PlaceName]int
-	regions []regionLoad
-	// cells[service][place]
+	in         *Input
+	account    *model.Account
+	places     []placeInfo
+	placeIndex map[model.PlaceName]int
+	regions    []regionLoad
+	// cells is indexed by service and place.
 	cells [][]cell
 	flows []flow
-	// delayScale is the cost unit of latency in ms: the longest round trip
-	// between two regions of the account.
-	delayScale float64
-	target     float64
-	capPPM     int64
-	totalRPS   float64
+	// maxRoundTripMS is the longest round trip between regions, at least 1 ms. It
+	// normalises latencies in the costs.
+	maxRoundTripMS    float64
+	targetUtilisation float64
+	capPPM            int64
+	totalRPS          float64
 }
 
-// placeInfo is a place of the account, or one the previous plan names and the
-// account no longer has; that one has no region (-1) and no capacity.
+// placeInfo is a place of the account, or a removed place that the previous plan
+// still uses. A removed place has no capacity and region -1.
 type placeInfo struct {
 	name   model.PlaceName
 	region int
 	drain  drainState
 }
 
-// regionLoad is what a region and the link into it carry, requests/s.
+// regionLoad holds the loads and capacities of a region and of the link into it, in
+// requests/s.
 type regionLoad struct {
 	name                   model.RegionName
 	capacity, linkCapacity float64
@@ -44,7 +44,7 @@
 
 func newSolver(in *Input) *solver {
 	s := &solver{in: in, account: in.Account}
-	s.target = max(1-in.Account.Policy.Headroom, leastTarget)
+	s.targetUtilisation = max(1-in.Account.Policy.Headroom, minTargetUtilisation)
 	s.capPPM = int64(min(max(in.Account.Moves.Share, 0), 1) * plan.Whole)
 	s.addRegions()
 	s.addPlaces()
@@ -56,35 +56,35 @@
 }
 
 func (s *solver) addRegions() {
-	s.delayScale = 1
+	s.maxRoundTripMS = 1
 	for i := range s.account.Regions {
 		r := &s.account.Regions[i]
 		s.regions = append(s.regions, regionLoad{name: r.Name, capacity: r.CapacityRPS, linkCapacity: r.LinkInRPS})
 		for _, d := range r.Delays {
-			s.delayScale = max(s.delayScale, 2*milliseconds(d.OneWay))
+			s.maxRoundTripMS = max(s.maxRoundTripMS, 2*milliseconds(d.OneWay))
 		}
 	}
 }
 
 func (s *solver) addPlaces() {
-	s.index = make(map[model.PlaceName]int, len(s.account.Places))
+	s.placeIndex = make(map[model.PlaceName]int, len(s.account.Places))
 	for i := range s.account.Places {
 		p := &s.account.Places[i]
 		s.addPlace(p.Name, s.regionIndex(p.Region))
 	}
 	if s.in.Previous != nil {
-		s.addRemoved()
+		s.addRemovedPlaces()
 	}
 	for i := range s.places {
 		s.places[i].drain = drainOf(s.account.Drains, s.places[i].name, s.in.Now)
 	}
 }
 
-// addRemoved adds the places that only the previous plan knows.
-func (s *solver) addRemoved() {
+// addRemovedPlaces adds the places that only the previous plan contains.
+func (s *solver) addRemovedPlaces() {
 	for i := range s.in.Previous.Flows {
 		for _, share := range s.in.Previous.Flows[i].Shares {
-			if _, ok := s.index[share.Place]; !ok {
+			if _, ok := s.placeIndex[share.Place]; !ok {
 				s.addPlace(share.Place, -1)
 			}
 		}
@@ -92,7 +92,7 @@
 }
 
 func (s *solver) addPlace(name model.PlaceName, region int) {
-	s.index[name] = len(s.places)
+	s.placeIndex[name] = len(s.places)
 	s.places = append(s.places, placeInfo{name: name, region: region})
 }
 
@@ -114,7 +114,7 @@
 	return -1
 }
 
-// sumLoads adds up what the previous shares ask for at the present demand.
+// sumLoads adds up the loads of the previous shares at the current demand.
 func (s *solver) sumLoads() {
 	for i := range s.flows {
 		f := &s.flows[i]
--- a/steering/tuning.go
+++ b/steering/tuning.go
@@ -11,100 +11,95 @@
 const MoveHistoryWindows = 16
 
 const (
-	// quantum is the least change that is weighed, parts per million.
+	// quantum is the smallest share moved at a time, in parts per million.
 	quantum = plan.Whole / 100
-	// leastFit is the least room for which a place is considered, parts per
-	// million: below it the search would creep towards a full place.
-	leastFit = quantum / 10
-	// deadBand is the gain in cost below which nothing moves. Without it two
-	// places of like cost would swap traffic at every measurement.
+	// minFit is the smallest spare capacity for which a place is considered, in
+	// parts per million. It keeps the search from filling places in tiny steps.
+	minFit = quantum / 10
+	// deadBand is the minimum saving for an optional move. It prevents oscillation
+	// between places of similar cost.
 	deadBand = 0.02
-	// optionalPart is the part of the cap that moves for gain may use. The
-	// rest is kept for failures and drains that may come at any moment.
-	optionalPart = 0.5
-	// leastEvenness is the least weight of even use, so that the failure
-	// domains of a region are used alike when only latency is weighed.
-	leastEvenness = 0.2
-	// fullPressure is the cost of a place at its capacity above the cost at
-	// its target: far more than any latency, so that headroom is used up only
-	// where all places have used theirs.
-	fullPressure = 4.0
-	// forcedCost is the cost of work in a place that it must leave.
-	forcedCost = 1000.0
-	// leastTarget and leastHeadroom keep the target utilisation and the part
-	// above it from 0, by which costs are divided.
-	leastTarget   = 0.05
-	leastHeadroom = 0.05
-	// mostUtilised stands for every utilisation beyond it, and for that of
-	// what has no capacity: a quotient by nothing would be no number, and a
-	// decision that holds one can neither be compared nor written as JSON.
-	mostUtilised = 2.0
-	// mostLatencyFactor is how far a service time may be from the middle of
-	// the places: one wrong report must not decide alone.
-	mostLatencyFactor = 4
-	// rounding is the relative error that sums of loads may have.
-	rounding = 1e-9
+	// optionalMoveShare is the fraction of the move cap available to optional
+	// moves. The rest is reserved for failures and drains.
+	optionalMoveShare = 0.5
+	// minBalanceWeight is the minimum weight of utilisation, so that the failure
+	// domains of a region share the load even when only latency is weighted.
+	minBalanceWeight = 0.2
+	// overloadCost is the cost added between target utilisation and full capacity.
+	// It outweighs latency, so that headroom is used only when all places are at
+	// their target.
+	overloadCost = 4.0
+	// forcedMoveCost is the cost of traffic in a place that it must leave.
+	forcedMoveCost = 1000.0
+	// minTargetUtilisation and minHeadroom prevent divisions by 0 in the costs.
+	minTargetUtilisation = 0.05
+	minHeadroom          = 0.05
+	// maxUtilisation caps every utilisation, also that of a zero capacity, so that
+	// costs and reasons stay finite.
+	maxUtilisation = 2.0
+	// maxLatencyFactor limits how far a service time may deviate from the middle
+	// of the places, so that one wrong report does not decide alone.
+	maxLatencyFactor = 4
+	// roundingError is the relative error tolerated in sums of loads.
+	roundingError = 1e-9
 )
 
 const (
-	// freshAge is the age up to which a measurement is taken as it is.
+	// freshAge is the age up to which a measurement needs no extra margin.
 	freshAge = 5 * time.Second
-	// FreezeAge is the age from which on a measurement permits no increase.
+	// FreezeAge is the age from which a measurement permits no increase.
 	FreezeAge = 30 * time.Second
-	// staleMargin is what a demand is widened by at FreezeAge.
+	// staleMargin is the margin added to a demand at FreezeAge.
 	staleMargin = 0.25
 )
 
 const (
-	// stepInterval is how long the effect of an increase needs to be seen in
-	// the measurements: a report interval, its way, and enough requests.
+	// stepInterval is the time until the effect of an increase is visible in the
+	// measurements.
 	stepInterval = 10 * time.Second
-	// stepPart is the part of a place's capacity it takes more of in a step.
-	stepPart = 0.1
-	// slowHold and slowBackoff are the ratios of P99 to its warm value from which
-	// on a place takes no more, and gives back.
-	slowHold    = 1.5
-	slowBackoff = 3.0
-	// backoffPart is the part of what was raised lately that a place gives back.
-	backoffPart = 0.5
-	// stepHalvings is how often a step is halved at most.
-	stepHalvings = 3
-	// failureHalvings is how often it is halved at most for failures.
-	failureHalvings = 5
-	// triedPart is the part of its capacity a place must carry to have been
-	// tried after a failure.
-	triedPart = 0.002
-	// backoffMemory is how long a place that gave back takes smaller steps.
-	backoffMemory = 15 * time.Minute
-	// unknownShare is the most a place nothing is known of gets of a flow.
-	unknownShare = plan.Whole / 100
+	// stepShare is the largest step, as a fraction of a place's capacity.
+	stepShare = 0.1
+	// slowHoldRatio and slowBackoffRatio are the ratios of P99 to its warm value
+	// from which a place takes no more traffic and sheds traffic.
+	slowHoldRatio    = 1.5
+	slowBackoffRatio = 3.0
+	// backoffShare is the fraction of the recent increase that a slow place sheds.
+	backoffShare = 0.5
+	// maxBackoffHalvings limits how often backoffs halve the step.
+	maxBackoffHalvings = 3
+	// maxFailureHalvings limits how often failures halve the step.
+	maxFailureHalvings = 5
+	// minProbeShare is the fraction of its capacity that a place must carry after a
+	// failure to count as probed.
+	minProbeShare = 0.002
+	// backoffRetention is the time for which a backoff reduces the step.
+	backoffRetention = 15 * time.Minute
+	// maxUnknownShare is the largest share of a flow in an unmeasured place.
+	maxUnknownShare = plan.Whole / 100
 )
 
 const (
-	// failedShare is the failure share from which on all work leaves and
-	// nothing more is sent.
+	// failedShare is the failure share from which an outlier gets no traffic.
 	failedShare = 0.5
-	// poorShare is the failure share from which on work leaves.
-	poorShare = 0.2
-	// worseFactor is by how much more of the requests must fail in a place
-	// than elsewhere, for the place to be the cause.
-	worseFactor = 2.0
-	// failingShare is the failure share from which on a place takes no more.
+	// degradedShare is the failure share from which traffic leaves an outlier.
+	degradedShare = 0.2
+	// outlierFactor is the ratio to the lowest failure share among the other places
+	// above which a place is an outlier.
+	outlierFactor = 2.0
+	// failingShare is the failure share from which a place takes no more traffic.
 	failingShare = 0.05
-	// leastSentRPS is the rate from which on a failure share or latency is
-	// taken for a measurement.
-	leastSentRPS = 0.5
-	// holdDown is the time for which work does not return to a place that
-	// failed; it doubles with each return that failed.
-	holdDown          = 30 * time.Second
-	holdDownDoublings = 4
+	// minSentRPS is the rate from which failure shares and latencies are reliable.
+	minSentRPS = 0.5
+	// holdDown is the time for which traffic does not return to a failed place. It
+	// doubles with each failure after a return.
+	holdDown             = 30 * time.Second
+	maxHoldDownDoublings = 4
 )
 
 const (
-	// drainSlack is the part a drain is begun earlier by, for other moves
-	// that use up the cap.
-	drainSlack = 0.25
-	// defaultOneWay is the delay assumed between regions that have none
-	// configured.
+	// drainMargin is the fraction added to the estimated time of a drain, to allow
+	// for other moves under the cap.
+	drainMargin = 0.25
+	// defaultOneWay is the delay assumed between regions without a configured one.
 	defaultOneWay = 100 * time.Millisecond
 )
