--- a/steering/pick/block.go
+++ b/steering/pick/block.go
@@ -10,10 +10,10 @@
 )
 
 // ForBlock returns the place of a block of client addresses by weighted
-// rendezvous hashing, or "" when the flow has no share anywhere. The result
-// depends on the shares and the hash only, so that all nodes agree on it
-// without a table. A change of shares that adds up to x in increases moves at
-// least x and at most 2x/(1+x) of the blocks; between two places it is x.
+// rendezvous hashing, or "" when the flow has no shares. The result depends only
+// on the shares and the hash, so all nodes agree without a shared table. When
+// share increases add up to x, between x and 2x/(1+x) of the blocks move; with
+// two places it is exactly x.
 func ForBlock(flow *plan.Flow, blockHash uint64) model.PlaceName {
 	best := math.Inf(1)
 	chosen := model.PlaceName("")
@@ -34,14 +34,14 @@
 	return chosen
 }
 
-// exponential turns uniform bits into an exponentially distributed number.
+// exponential maps uniform random bits to an exponentially distributed value.
 func exponential(bits uint64) float64 {
-	// 53 bits, moved by half a step so that the logarithm is finite.
+	// The half-step offset keeps the argument above 0, so the logarithm is finite.
 	uniform := (float64(bits>>11) + 0.5) / (1 << 53)
 	return -math.Log(uniform)
 }
 
-// mix is the finaliser of splitmix64: each input bit changes about half of
+// mix is the finalizer of splitmix64: flipping one input bit flips about half of
 // the output bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
--- a/steering/pick/moved_test.go
+++ b/steering/pick/moved_test.go
@@ -5,25 +5,24 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// blocksMoved returns the expected part of all blocks, 0 to 1, that ForBlock
-// places elsewhere under next than under flow. It is at least the sum of the
-// share increases x and at most 2x/(1+x); with two places it is x.
-func blocksMoved(flow, next *plan.Flow) float64 {
+// expectedBlocksMoved returns the expected fraction of blocks that ForBlock maps to a
+// different place under next than under flow.
+func expectedBlocksMoved(flow, next *plan.Flow) float64 {
 	same := 0.0
 	for _, s := range flow.Shares {
 		after := shareOf(next, s.Place)
 		if s.PPM == 0 || after == 0 {
 			continue
 		}
-		same += 1 / rivals(flow, next, float64(s.PPM), after)
+		same += 1 / relativeWeights(flow, next, float64(s.PPM), after)
 	}
 	return max(0, 1-same)
 }
 
-// rivals sums, over all places, the larger of their weights relative to the
-// chosen one before and after: a block stays with the place when its score is
-// the least under both.
-func rivals(flow, next *plan.Flow, before, after float64) float64 {
+// relativeWeights sums, over all places, the larger of the weights relative to the chosen
+// place before and after. A block stays only when the chosen place has the lowest
+// score under both plans.
+func relativeWeights(flow, next *plan.Flow, before, after float64) float64 {
 	sum := 0.0
 	for _, s := range flow.Shares {
 		if s.PPM == 0 {
--- a/steering/pick/picker.go
+++ b/steering/pick/picker.go
@@ -1,6 +1,6 @@
-// Package pick chooses a place by the shares of one flow. A Picker serves
-// single requests; ForBlock gives a whole block of client addresses one place
-// that every node computes alike from the shares alone.
+// Package pick selects a place according to the shares of one flow. A Picker
+// selects one for each request. ForBlock maps a block of client addresses to a
+// place that every node computes identically from the shares alone.
 package pick
 
 import (
@@ -10,21 +10,19 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// goldenStep is 2^64 divided by the golden ratio, made odd. Its multiples
-// modulo 2^64 are a low-discrepancy sequence: any run of n of them falls into
-// an interval of length x close to n*x times, so that short runs follow the
-// shares too.
+// goldenStep is 2^64 divided by the golden ratio, rounded to an odd number. Its
+// multiples modulo 2^64 form a low-discrepancy sequence, so even short runs of
+// requests match the shares closely.
 const goldenStep = 0x9E3779B97F4A7C15
 
-// Picker spreads requests over the places of one flow. It is safe for use by
-// many goroutines, takes no lock and does not allocate.
+// Picker distributes requests over the places of one flow. It is safe for
+// concurrent use, lock-free and does not allocate.
 type Picker struct {
 	places []model.PlaceName
-	// upper[i] is the end, exclusive, of the interval of places[i].
+	// upper[i] is the exclusive end of the cumulative share interval of places[i].
 	upper []uint32
-	// flow is what the picker was built from.
-	flow *plan.Flow
-	// count is shared by the pickers that follow each other for one flow.
+	flow  *plan.Flow
+	// count is shared by successive pickers of one flow.
 	count *atomic.Uint64
 }
 
@@ -36,7 +34,7 @@
 	if previous != nil && previous.flow == flow {
 		return previous
 	}
-	p := &Picker{flow: flow, count: counterOf(previous)}
+	p := &Picker{flow: flow, count: counterFrom(previous)}
 	if flow == nil {
 		return p
 	}
@@ -52,22 +50,21 @@
 	return p
 }
 
-func counterOf(previous *Picker) *atomic.Uint64 {
+func counterFrom(previous *Picker) *atomic.Uint64 {
 	if previous != nil {
 		return previous.count
 	}
 	return new(atomic.Uint64)
 }
 
-// Next returns the place for the next request, or "" when the flow has no
-// share anywhere.
+// Next returns the place for the next request, or "" when the flow has no shares.
 func (p *Picker) Next() model.PlaceName {
 	last := len(p.upper) - 1
 	if last < 0 {
 		return ""
 	}
 	point := p.count.Add(1) * goldenStep
-	// The upper 32 bits scaled to the sum of the shares.
+	// Scales the upper 32 bits to the sum of the shares.
 	at := uint32((point >> 32) * uint64(p.upper[last]) >> 32)
 	low, high := 0, last
 	for low < high {
--- a/steering/pick/picker_test.go
+++ b/steering/pick/picker_test.go
@@ -18,8 +18,8 @@
 	return f
 }
 
-// Shares must hold for short runs too: the count of a place in any run of
-// requests stays within a few of its share.
+// In any short run of requests, the count of each place stays within a few
+// requests of its share.
 func TestNextFollowsSharesInShortRuns(t *testing.T) {
 	f := flowOf(500_000, 300_000, 0, 199_000, 1_000)
 	p := New(nil, f)
@@ -36,13 +36,13 @@
 		}
 	}
 	if worst > 4 {
-		t.Fatalf("a run of %d is off by %.1f requests", run, worst)
+		t.Fatalf("in a run of %d requests a place deviates by %.1f requests from its share, want at most 4", run, worst)
 	}
 }
 
-// When a plan changes after every third request, the shares must still hold;
-// a sequence that begins anew each time would use its first points only.
-func TestNextAfterGoesOn(t *testing.T) {
+// The shares hold when the plan changes after every third request. A restarted
+// sequence would only use its first points.
+func TestNewContinuesSequence(t *testing.T) {
 	counts := map[model.PlaceName]int{}
 	var p *Picker
 	const changes = 3000
@@ -60,11 +60,11 @@
 
 func TestNextWithoutShares(t *testing.T) {
 	if got := New(nil, &plan.Flow{}).Next(); got != "" {
-		t.Fatalf("chose %q of no places", got)
+		t.Fatalf("Next() = %q without shares, want an empty place", got)
 	}
 }
 
-func TestNextFromManyGoroutines(t *testing.T) {
+func TestNextConcurrent(t *testing.T) {
 	p := New(nil, flowOf(250_000, 750_000))
 	var group sync.WaitGroup
 	var mu sync.Mutex
@@ -92,14 +92,13 @@
 	p := New(nil, flowOf(250_000, 750_000))
 	f := flowOf(250_000, 750_000)
 	if n := testing.AllocsPerRun(1000, func() { p.Next(); ForBlock(f, 7) }); n != 0 {
-		t.Fatalf("%v allocations for a choice", n)
+		t.Fatalf("%v allocations per call, want 0", n)
 	}
 }
 
-// A change of shares must move few blocks: each moved block lands on a cold
-// cache and counts against the move cap. Counted over many blocks, it is what
-// blocksMoved tells, and the shares hold before and after.
-func TestForBlockMovesFew(t *testing.T) {
+// A share change remaps no more blocks than expected, since each remapped block
+// hits a cold cache, and the new shares hold.
+func TestForBlockRemapsFewBlocks(t *testing.T) {
 	const blocks = 200_000
 	cases := []struct {
 		before, after *plan.Flow
@@ -124,7 +123,7 @@
 			}
 		}
 		got := float64(moved) / blocks
-		want := blocksMoved(c.before, c.after)
+		want := expectedBlocksMoved(c.before, c.after)
 		t.Logf("share change %.2f moved %.4f of the blocks, expected %.4f", c.x, got, want)
 		if math.Abs(got-want) > 0.005 {
 			t.Errorf("moved %.4f of the blocks, expected %.4f", got, want)
