--- a/steering/step/flow_state.go
+++ b/steering/step/flow_state.go
@@ -7,20 +7,19 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// track is the history of one flow on this node.
-type track struct {
-	// shares are in force. The slice is replaced, never changed, because
-	// plans given out refer to it.
+// flowState holds the effective shares and the move history of one flow.
+type flowState struct {
+	// shares is replaced, never modified, because returned plans refer to it.
 	shares  []plan.Share
 	history history
 }
 
-// advance moves the shares towards the target by what the cap leaves and
+// advance moves the shares towards the target as far as the cap allows and
 // reports whether they changed.
-func (t *track) advance(target []plan.Share, limits model.MoveLimits, now time.Time) bool {
+func (t *flowState) advance(target []plan.Share, limits model.MoveLimits, now time.Time) bool {
 	if len(target) == 0 {
-		// No place can serve. The shares stay: to forget them would make the
-		// way back a move of the whole flow that nobody counts.
+		// No place can serve. Keeps the shares, so that the move to the next
+		// target counts against the cap.
 		return false
 	}
 	if len(t.shares) == 0 {
@@ -31,7 +30,7 @@
 		return false
 	}
 	budget := t.history.budget(limits, now)
-	next, moved := toward(t.shares, target, budget)
+	next, moved := interpolate(t.shares, target, budget)
 	if moved == 0 {
 		return false
 	}
--- a/steering/step/history.go
+++ b/steering/step/history.go
@@ -7,28 +7,27 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// retention is how long moves are remembered at least, so that a cap whose
-// window is lengthened still counts what was moved under the shorter one.
+// retention is the minimum time for which moves are kept, so that moves made
+// under a shorter window still count after the window is lengthened.
 const retention = time.Hour
 
-// slices is into how many parts a window is divided: moves within one part
-// are kept as one entry, which bounds the memory of a flow.
-const slices = 64
+// slotsPerWindow is the number of slots a window is divided into. Moves within one slot
+// share one entry, which bounds the memory per flow.
+const slotsPerWindow = 64
 
-// history holds the moves of one flow in order of time.
+// history holds the moves of one flow in chronological order.
 type history struct {
 	entries []entry
 }
 
-// entry is an amount of share increases, parts per million. It counts until
-// the last of them is out of the window, so that none is forgotten early; the
-// first bounds how long an entry may grow.
+// entry aggregates share increases, in parts per million. It counts until its
+// last increase leaves the window; first limits the time it may span.
 type entry struct {
 	first, last time.Time
-	moved       uint32
+	increase    uint32
 }
 
-// budget returns what may still move now. Both ends of a window belong to it.
+// budget returns the share that may still move now. Windows include both ends.
 func (h *history) budget(limits model.MoveLimits, now time.Time) uint32 {
 	limit := capPPM(limits.Share)
 	sum := uint64(0)
@@ -37,7 +36,7 @@
 		if now.Sub(e.last) > limits.Window {
 			break
 		}
-		sum += uint64(e.moved)
+		sum += uint64(e.increase)
 	}
 	if sum >= uint64(limit) {
 		return 0
@@ -45,14 +44,14 @@
 	return limit - uint32(sum)
 }
 
-// add records a move and forgets what no window can reach any more.
+// add records a move and drops entries that no window can include any more.
 func (h *history) add(now time.Time, moved uint32, window time.Duration) {
-	h.entries = append(h.entries, entry{first: now, last: now, moved: moved})
+	h.entries = append(h.entries, entry{first: now, last: now, increase: moved})
 	h.compact(now, window)
 }
 
-// compact merges neighbours within one slice: fine ones within the window in
-// force, coarse ones for the rest of the retention.
+// compact merges adjacent entries within one slot: fine slots inside the current
+// window, coarse ones for the rest of the retention.
 func (h *history) compact(now time.Time, window time.Duration) {
 	kept := h.entries[:0]
 	for _, e := range h.entries {
@@ -60,14 +59,14 @@
 		if age > max(window, retention) {
 			continue
 		}
-		width := window / slices
+		width := window / slotsPerWindow
 		if age > window {
-			width = max(window, retention) / slices
+			width = max(window, retention) / slotsPerWindow
 		}
 		end := len(kept) - 1
 		if end >= 0 && e.last.Sub(kept[end].first) <= width {
 			kept[end].last = e.last
-			kept[end].moved += e.moved
+			kept[end].increase += e.increase
 			continue
 		}
 		kept = append(kept, e)
@@ -75,8 +74,8 @@
 	h.entries = kept
 }
 
-// capPPM turns the cap into parts per million, rounded down. Anything outside
-// 0 to 1 is brought to the nearer end.
+// capPPM converts the cap to parts per million, rounded down and clamped to the
+// range 0 to plan.Whole.
 func capPPM(share float64) uint32 {
 	if !(share > 0) {
 		return 0
--- a/steering/step/history_test.go
+++ b/steering/step/history_test.go
@@ -7,10 +7,9 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// A slow shift that takes a little every half second must not stop for good:
-// entries that grow without end would keep every move of the past in the
-// window. The memory of a flow stays bounded too.
-func TestSlowShiftKeepsItsBudget(t *testing.T) {
+// Frequent small moves must leave the budget as they age. Entries that grew
+// without bound would keep all past moves in the window.
+func TestFrequentSmallMovesKeepBudget(t *testing.T) {
 	limits := model.MoveLimits{Share: 0.1, Window: time.Minute}
 	var h history
 	now := epochStart
@@ -18,11 +17,11 @@
 		now = now.Add(500 * time.Millisecond)
 		h.add(now, 100, limits.Window)
 	}
-	// 120 moves of 100 ppm are in a window, and one slice more at most.
+	// The window holds 120 moves of 100 ppm, plus at most one slot.
 	if got := h.budget(limits, now); got < 87_000 || got > 88_000 {
-		t.Fatalf("budget %d ppm after a slow shift, want about 87900", got)
+		t.Fatalf("budget %d ppm after frequent small moves, want about 87900", got)
 	}
-	if len(h.entries) > 4*slices {
-		t.Fatalf("%d history entries", len(h.entries))
+	if len(h.entries) > 4*slotsPerWindow {
+		t.Fatalf("history grew to %d entries", len(h.entries))
 	}
 }
--- a/steering/step/interpolate.go
+++ b/steering/step/interpolate.go
@@ -4,15 +4,14 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// toward returns shares between from and to whose increases add up to at most
-// budget, and the sum of those increases. Every rise is paid for by falls of
-// the same sum, so the shares keep adding up to plan.Whole. Both inputs are
-// sorted by place, and so is the result.
-func toward(from, to []plan.Share, budget uint32) ([]plan.Share, uint32) {
-	pairs := join(from, to)
+// interpolate returns shares between from and to whose increases add up to at most
+// budget, and the sum of those increases. Decreases add up to the same amount, so
+// the total stays plan.Whole. Inputs and result are sorted by place.
+func interpolate(from, to []plan.Share, budget uint32) ([]plan.Share, uint32) {
+	changes := mergeShares(from, to)
 	want := uint32(0)
-	for _, p := range pairs {
-		want += p.rise()
+	for _, p := range changes {
+		want += p.increase()
 	}
 	if want <= budget {
 		return to, want
@@ -20,90 +19,90 @@
 	if budget == 0 {
 		return from, 0
 	}
-	moved := scaleRises(pairs, budget, want)
-	payFalls(pairs, moved, want)
-	return collect(pairs), moved
+	moved := applyIncreases(changes, budget, want)
+	applyDecreases(changes, moved, want)
+	return nonZeroShares(changes), moved
 }
 
-// pair is one place's share before and in the target.
-type pair struct {
-	share        plan.Share
-	before, goal uint32
+// shareChange holds the current and the target share of one place.
+type shareChange struct {
+	share           plan.Share
+	current, target uint32
 }
 
-func (p *pair) rise() uint32 {
-	if p.goal > p.before {
-		return p.goal - p.before
+func (p *shareChange) increase() uint32 {
+	if p.target > p.current {
+		return p.target - p.current
 	}
 	return 0
 }
 
-func (p *pair) fall() uint32 {
-	if p.before > p.goal {
-		return p.before - p.goal
+func (p *shareChange) decrease() uint32 {
+	if p.current > p.target {
+		return p.current - p.target
 	}
 	return 0
 }
 
-// join merges two lists sorted by place.
-func join(from, to []plan.Share) []pair {
-	pairs := make([]pair, 0, len(from)+len(to))
+// mergeShares merges two share lists sorted by place.
+func mergeShares(from, to []plan.Share) []shareChange {
+	changes := make([]shareChange, 0, len(from)+len(to))
 	for len(from) > 0 || len(to) > 0 {
 		switch {
 		case len(to) == 0 || len(from) > 0 && from[0].Place < to[0].Place:
-			pairs = append(pairs, pair{share: from[0], before: from[0].PPM})
+			changes = append(changes, shareChange{share: from[0], current: from[0].PPM})
 			from = from[1:]
 		case len(from) == 0 || to[0].Place < from[0].Place:
-			pairs = append(pairs, pair{share: to[0], goal: to[0].PPM})
+			changes = append(changes, shareChange{share: to[0], target: to[0].PPM})
 			to = to[1:]
 		default:
-			pairs = append(pairs, pair{share: to[0], before: from[0].PPM, goal: to[0].PPM})
+			changes = append(changes, shareChange{share: to[0], current: from[0].PPM, target: to[0].PPM})
 			from, to = from[1:], to[1:]
 		}
 	}
-	return pairs
+	return changes
 }
 
-// scaleRises raises each place by its part of the budget, rounded down, and
+// applyIncreases applies each increase in proportion to the budget, rounded down, and
 // returns the sum.
-func scaleRises(pairs []pair, budget, want uint32) uint32 {
+func applyIncreases(changes []shareChange, budget, want uint32) uint32 {
 	sum := uint32(0)
-	for i := range pairs {
-		p := &pairs[i]
-		part := uint32(uint64(p.rise()) * uint64(budget) / uint64(want))
-		p.share.PPM = p.before + part
+	for i := range changes {
+		p := &changes[i]
+		part := uint32(uint64(p.increase()) * uint64(budget) / uint64(want))
+		p.share.PPM = p.current + part
 		sum += part
 	}
 	return sum
 }
 
-// payFalls lowers the falling places by moved in all: each by its part,
-// rounded down, and the rest from the first that still can.
-func payFalls(pairs []pair, moved, want uint32) {
+// applyDecreases applies decreases that add up to moved: each in proportion, rounded
+// down, and the remainder to the first places that can still decrease.
+func applyDecreases(changes []shareChange, moved, want uint32) {
 	left := moved
-	for i := range pairs {
-		p := &pairs[i]
-		if p.fall() == 0 {
+	for i := range changes {
+		p := &changes[i]
+		if p.decrease() == 0 {
 			continue
 		}
-		part := uint32(uint64(p.fall()) * uint64(moved) / uint64(want))
-		p.share.PPM = p.before - part
+		part := uint32(uint64(p.decrease()) * uint64(moved) / uint64(want))
+		p.share.PPM = p.current - part
 		left -= part
 	}
-	for i := range pairs {
-		p := &pairs[i]
-		if p.fall() == 0 {
+	for i := range changes {
+		p := &changes[i]
+		if p.decrease() == 0 {
 			continue
 		}
-		extra := min(left, p.share.PPM-p.goal)
+		extra := min(left, p.share.PPM-p.target)
 		p.share.PPM -= extra
 		left -= extra
 	}
 }
 
-func collect(pairs []pair) []plan.Share {
-	shares := make([]plan.Share, 0, len(pairs))
-	for _, p := range pairs {
+func nonZeroShares(changes []shareChange) []plan.Share {
+	shares := make([]plan.Share, 0, len(changes))
+	for _, p := range changes {
 		if p.share.PPM > 0 {
 			shares = append(shares, p.share)
 		}
@@ -111,10 +110,10 @@
 	return shares
 }
 
-// sharesEqual compares two lists sorted by place; zero shares count as absent.
+// sharesEqual compares two lists sorted by place. Zero shares count as absent.
 func sharesEqual(a, b []plan.Share) bool {
-	for _, p := range join(a, b) {
-		if p.before != p.goal {
+	for _, p := range mergeShares(a, b) {
+		if p.current != p.target {
 			return false
 		}
 	}
--- a/steering/step/stepper.go
+++ b/steering/step/stepper.go
@@ -1,8 +1,8 @@
-// Package step moves one node's effective shares towards the plan no faster
-// than the account's move cap. Each flow's share increases stay under the cap
-// in every window of the given length, wherever it begins; therefore, for any
-// weights of the flows, the part of the node's traffic that moves does too,
-// and with it the sum over all nodes. The bound uses no measurement.
+// Package step moves the effective shares of one node towards the plan without
+// exceeding the account's move cap. The share increases of each flow stay under
+// the cap in every sliding window. Hence the traffic moved by a node, and by all
+// nodes together, stays under the cap as well, whatever the weights of the flows.
+// The bound does not depend on measurements.
 package step
 
 import (
@@ -14,7 +14,7 @@
 )
 
 // Stepper holds the effective plan of one account on one node. It is safe for
-// use by several goroutines; the plans it returns are never changed.
+// concurrent use. The plans it returns are immutable.
 type Stepper struct {
 	clock func() time.Time
 
@@ -22,9 +22,9 @@
 	limits    model.MoveLimits
 	target    *plan.Plan
 	effective *plan.Plan
-	// reached is the last plan that the shares were equal to.
-	reached *plan.Plan
-	tracks  map[flowKey]*track
+	// applied is the last plan that was fully applied.
+	applied *plan.Plan
+	flows   map[flowKey]*flowState
 }
 
 type flowKey struct {
@@ -32,29 +32,29 @@
 	caller  model.RegionName
 }
 
-// New returns a stepper under the limits. The clock must be monotonic, as
+// New returns a stepper with the given limits. The clock must be monotonic, as
 // time.Now is within one process.
 func New(limits model.MoveLimits, clock func() time.Time) *Stepper {
 	return &Stepper{
 		clock:  clock,
 		limits: limits,
-		tracks: make(map[flowKey]*track),
+		flows:  make(map[flowKey]*flowState),
 	}
 }
 
-// SetLimits puts a changed cap in force. Moves made under the old one count
-// against the new one.
+// SetLimits replaces the move cap. Moves made under the old cap count against
+// the new one.
 func (s *Stepper) SetLimits(limits model.MoveLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = limits
 }
 
-// Advance takes the plan last received and returns the shares to apply now.
-// held tells that the cap keeps them from the plan: call Advance again with
-// the same plan later. A plan that is not newer than one seen before does not
-// replace it. The first plan is taken as it is, because a node without history
-// has moved nothing yet. A nil target goes on towards the last one.
+// Advance takes the latest plan and returns the shares to apply now. held is true
+// when the move cap keeps the shares from matching the plan; call Advance again
+// later. A plan that is not newer than the current one is ignored, and a nil
+// target continues towards the current one. The first plan applies at once,
+// because a node without history has moved nothing yet.
 func (s *Stepper) Advance(target *plan.Plan) (effective *plan.Plan, held bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,17 +62,17 @@
 		s.target = target
 	}
 	if s.effective == s.target {
-		// The usual call: the plan is in force, or there is none yet.
+		// The plan is already applied, or there is none yet.
 		return s.effective, false
 	}
-	moved := s.moveAll()
-	if s.arrived() {
+	moved := s.advanceFlows()
+	if s.targetReached() {
 		s.effective = s.target
-		s.reached = s.target
+		s.applied = s.target
 		return s.effective, false
 	}
 	if moved || s.effective == nil || s.target.Newer(s.effective) {
-		s.effective = s.assemble()
+		s.effective = s.buildEffective()
 	}
 	return s.effective, true
 }
@@ -81,35 +81,34 @@
 func (s *Stepper) RemainingBudget(service model.ServiceName, caller model.RegionName) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := s.tracks[flowKey{service, caller}]
+	t := s.flows[flowKey{service, caller}]
 	if t == nil {
 		return 0
 	}
 	return float64(t.history.budget(s.limits, s.clock())) / plan.Whole
 }
 
-// moveAll advances every flow of the target and reports whether one changed.
-func (s *Stepper) moveAll() bool {
+// advanceFlows advances every flow of the target and reports whether any changed.
+func (s *Stepper) advanceFlows() bool {
 	now := s.clock()
 	changed := false
 	for i := range s.target.Flows {
 		f := &s.target.Flows[i]
-		if s.trackOf(f).advance(f.Shares, s.limits, now) {
+		if s.flowState(f).advance(f.Shares, s.limits, now) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// trackOf returns the history of a flow. It is kept when a plan leaves the
-// flow out: a plan that drops a flow and brings it back elsewhere would
-// otherwise move all of it at once.
-func (s *Stepper) trackOf(f *plan.Flow) *track {
+// flowState returns the state of a flow. It outlives plans that omit the flow, so
+// that a flow reintroduced at another place still moves under the cap.
+func (s *Stepper) flowState(f *plan.Flow) *flowState {
 	key := flowKey{f.Service, f.Caller}
-	t := s.tracks[key]
+	t := s.flows[key]
 	if t == nil {
-		t = &track{}
-		s.tracks[key] = t
+		t = &flowState{}
+		s.flows[key] = t
 	}
 	return t
 }
@@ -119,29 +118,29 @@
 func (s *Stepper) AppliedVersion() (epoch, sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reached == nil {
+	if s.applied == nil {
 		return 0, 0
 	}
-	return s.reached.Epoch, s.reached.Sequence
+	return s.applied.Epoch, s.applied.Sequence
 }
 
-func (s *Stepper) arrived() bool {
+func (s *Stepper) targetReached() bool {
 	for i := range s.target.Flows {
 		f := &s.target.Flows[i]
-		if !sharesEqual(s.trackOf(f).shares, f.Shares) {
+		if !sharesEqual(s.flowState(f).shares, f.Shares) {
 			return false
 		}
 	}
 	return true
 }
 
-// assemble builds the effective plan. It carries the version of the target.
-func (s *Stepper) assemble() *plan.Plan {
+// buildEffective builds the effective plan, with the version of the target.
+func (s *Stepper) buildEffective() *plan.Plan {
 	next := *s.target
 	next.Flows = make([]plan.Flow, len(s.target.Flows))
 	copy(next.Flows, s.target.Flows)
 	for i := range next.Flows {
-		next.Flows[i].Shares = s.trackOf(&next.Flows[i]).shares
+		next.Flows[i].Shares = s.flowState(&next.Flows[i]).shares
 	}
 	return &next
 }
--- a/steering/step/stepper_test.go
+++ b/steering/step/stepper_test.go
@@ -13,17 +13,17 @@
 
 var epochStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// move is one observed increase of a flow's effective shares.
+// move is an observed increase of the effective shares of one flow.
 type move struct {
 	at   time.Time
 	flow int
 	ppm  uint32
 }
 
-func increases(before, after []plan.Share) uint32 {
+func totalIncrease(before, after []plan.Share) uint32 {
 	sum := uint32(0)
-	for _, p := range join(before, after) {
-		sum += p.rise()
+	for _, p := range mergeShares(before, after) {
+		sum += p.increase()
 	}
 	return sum
 }
@@ -36,8 +36,7 @@
 	return sum
 }
 
-// drawShares draws a list over up to five places that adds up to plan.Whole,
-// or an empty one.
+// drawShares draws shares of up to five places that add up to plan.Whole, or none.
 func drawShares(t *rapid.T) []plan.Share {
 	weights := rapid.SliceOfN(rapid.Uint32Range(0, 9), 5, 5).Draw(t, "weights")
 	total := uint32(0)
@@ -60,16 +59,13 @@
 	return shares
 }
 
-// A dealer's traffic lands on cold caches in a region that took more than the
-// cap allows, and orders time out. It happens when plans come faster than the
-// window turns, go back and forth, or many are skipped by a node that was
-// paused: each looks small by itself. Whatever the order, the increases in
-// every window, wherever it begins, must stay under the cap for any weights.
+// The weighted increases in every sliding window stay under the cap, also when
+// plans change faster than the window, alternate or are skipped.
 func TestIncreasesStayUnderCapInEveryWindow(t *testing.T) {
-	rapid.Check(t, checkCap)
+	rapid.Check(t, checkWindows)
 }
 
-func checkCap(t *rapid.T) {
+func checkWindows(t *rapid.T) {
 	const flows = 3
 	now := epochStart
 	share := rapid.Float64Range(0.01, 0.9).Draw(t, "cap")
@@ -96,14 +92,14 @@
 				t.Fatalf("shares add up to %d", sumOf(f.Shares))
 			}
 			if last[at] != nil {
-				moves = append(moves, move{now, at, increases(last[at], f.Shares)})
+				moves = append(moves, move{now, at, totalIncrease(last[at], f.Shares)})
 			}
 			if len(f.Shares) > 0 {
 				last[at] = f.Shares
 			}
 		}
 	}
-	requireUnder(t, moves, weights, limits)
+	requireUnderCap(t, moves, weights, limits)
 }
 
 func drawWeights(t *rapid.T, n int) []float64 {
@@ -119,7 +115,7 @@
 	return weights
 }
 
-// drawPause is mostly a small part of a window and sometimes several.
+// drawPause returns a fraction of a window, or sometimes several windows.
 func drawPause(t *rapid.T, window time.Duration) time.Duration {
 	if rapid.IntRange(0, 9).Draw(t, "paused") == 0 {
 		return window * time.Duration(rapid.IntRange(0, 5).Draw(t, "windows"))
@@ -128,7 +124,7 @@
 	return window * time.Duration(thousandths) / 1000
 }
 
-// drawFlows leaves a flow out now and then.
+// drawFlows omits some flows at random.
 func drawFlows(t *rapid.T, n int) []plan.Flow {
 	var flows []plan.Flow
 	for i := range n {
@@ -141,8 +137,8 @@
 	return flows
 }
 
-// requireUnder checks the window that ends at each move.
-func requireUnder(t *rapid.T, moves []move, weights []float64, limits model.MoveLimits) {
+// requireUnderCap checks the cap in each window that ends at a move.
+func requireUnderCap(t *rapid.T, moves []move, weights []float64, limits model.MoveLimits) {
 	for _, end := range moves {
 		sum := 0.0
 		for _, m := range moves {
@@ -157,18 +153,17 @@
 	}
 }
 
-func onePlan(sequence uint64, shares ...plan.Share) *plan.Plan {
+func singleFlowPlan(sequence uint64, shares ...plan.Share) *plan.Plan {
 	return &plan.Plan{Sequence: sequence, Flows: []plan.Flow{{Service: "s", Caller: "a", Shares: shares}}}
 }
 
-// Operators lengthen the window in the middle of a failover. What moved under
-// the old one must count against the new one, or the change itself lets a
-// second cap's worth through at once.
+// Moves made under a shorter window count after the window is lengthened.
+// Otherwise the change would allow a second full cap at once.
 func TestLongerWindowCountsOldMoves(t *testing.T) {
 	now := epochStart
 	s := New(model.MoveLimits{Share: 0.1, Window: time.Minute}, func() time.Time { return now })
-	s.Advance(onePlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
-	goal := onePlan(2, plan.Share{Place: "b", PPM: plan.Whole})
+	s.Advance(singleFlowPlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
+	goal := singleFlowPlan(2, plan.Share{Place: "b", PPM: plan.Whole})
 	s.Advance(goal)
 	now = now.Add(2 * time.Minute)
 	s.Advance(goal)
@@ -176,56 +171,54 @@
 	s.SetLimits(model.MoveLimits{Share: 0.25, Window: 10 * time.Minute})
 	effective, held := s.Advance(goal)
 	if got := effective.Flows[0].Shares[0].PPM; got != 750_000 || !held {
-		t.Fatalf("share left in a is %d ppm, held %v, want 750000 and held", got, held)
+		t.Fatalf("remaining share of a is %d ppm, held %v, want 750000 and true", got, held)
 	}
 }
 
-// A large move must end: one cap's worth a window, no starvation by merged
-// history entries.
-func TestMoveEndsWithinExpectedWindows(t *testing.T) {
+// A full move completes at the rate of the cap. Merged history entries must not
+// hold it back.
+func TestFullMoveCompletesAtCapRate(t *testing.T) {
 	now := epochStart
 	s := New(model.MoveLimits{Share: 0.1, Window: time.Minute}, func() time.Time { return now })
-	s.Advance(onePlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
-	goal := onePlan(2, plan.Share{Place: "b", PPM: plan.Whole})
+	s.Advance(singleFlowPlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
+	goal := singleFlowPlan(2, plan.Share{Place: "b", PPM: plan.Whole})
 	halves := 0
 	for held := true; held; halves++ {
 		_, held = s.Advance(goal)
 		now = now.Add(500 * time.Millisecond)
 		if halves > 1200 {
-			t.Fatal("the move of one whole flow under a cap of a tenth takes over 600 s")
+			t.Fatal("moving a whole flow under a cap of 10% a minute takes over 600 s")
 		}
 	}
 	if halves < 1080 {
-		t.Fatalf("the move took %d half seconds, less than nine full windows", halves)
+		t.Fatalf("the move took %d half seconds, want at least 1080 (nine windows)", halves)
 	}
 }
 
-// A region fails, no place can serve for a moment, and then another region
-// takes all of the flow at once: the gap must not make the node forget where
-// its traffic was.
-func TestGapWithoutPlacesIsNoFreeMove(t *testing.T) {
+// A plan without places for a flow does not reset the flow's shares. Otherwise
+// the next plan could move all of it at once.
+func TestPlanWithoutPlacesKeepsMoveCap(t *testing.T) {
 	s := New(model.MoveLimits{Share: 0.1, Window: time.Minute}, func() time.Time { return epochStart })
-	s.Advance(onePlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
-	s.Advance(onePlan(2))
-	effective, held := s.Advance(onePlan(3, plan.Share{Place: "b", PPM: plan.Whole}))
-	if got := increases([]plan.Share{{Place: "a", PPM: plan.Whole}}, effective.Flows[0].Shares); got != 100_000 || !held {
-		t.Fatalf("moved %d ppm after a gap, held %v, want 100000 and held", got, held)
+	s.Advance(singleFlowPlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
+	s.Advance(singleFlowPlan(2))
+	effective, held := s.Advance(singleFlowPlan(3, plan.Share{Place: "b", PPM: plan.Whole}))
+	if got := totalIncrease([]plan.Share{{Place: "a", PPM: plan.Whole}}, effective.Flows[0].Shares); got != 100_000 || !held {
+		t.Fatalf("moved %d ppm after a plan without places, held %v, want 100000 and true", got, held)
 	}
 }
 
-// A late copy of an old plan must not turn the node back.
+// A delayed older plan does not replace a newer one.
 func TestOlderPlanIsIgnored(t *testing.T) {
 	s := New(model.MoveLimits{Share: 1, Window: time.Minute}, func() time.Time { return epochStart })
-	s.Advance(onePlan(2, plan.Share{Place: "b", PPM: plan.Whole}))
-	effective, _ := s.Advance(onePlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
+	s.Advance(singleFlowPlan(2, plan.Share{Place: "b", PPM: plan.Whole}))
+	effective, _ := s.Advance(singleFlowPlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
 	if effective.Sequence != 2 {
-		t.Fatalf("sequence %d in force after a late plan, want 2", effective.Sequence)
+		t.Fatalf("sequence %d after a delayed older plan, want 2", effective.Sequence)
 	}
 }
 
-// Each of several nodes has its own mix of flows, its own pauses and its own
-// part of the traffic. What all of them move together, weighted by what each
-// carries of each flow, stays under the cap.
+// The traffic moved by all nodes together stays under the cap, whatever part of
+// each flow a node carries and whichever plans it skips.
 func TestSumOverNodesStaysUnderCap(t *testing.T) {
 	rapid.Check(t, checkNodes)
 }
@@ -253,34 +246,33 @@
 			effective, _ := steppers[n].Advance(target)
 			for f := range effective.Flows {
 				if last[n] != nil && len(last[n].Flows[f].Shares) > 0 {
-					moves = append(moves, move{now, n*flows + f, increases(last[n].Flows[f].Shares, effective.Flows[f].Shares)})
+					moves = append(moves, move{now, n*flows + f, totalIncrease(last[n].Flows[f].Shares, effective.Flows[f].Shares)})
 				}
 			}
 			last[n] = effective
 		}
 	}
-	requireUnder(t, moves, weights, limits)
+	requireUnderCap(t, moves, weights, limits)
 }
 
-// A node looks at its plan every second; while the plan is in force, that must
-// cost nothing.
-func TestAdvanceInForceDoesNotAllocate(t *testing.T) {
+// Nodes call Advance every second, so a call with an applied plan must not
+// allocate.
+func TestAdvanceAppliedPlanDoesNotAllocate(t *testing.T) {
 	s := New(model.MoveLimits{Share: 0.1, Window: time.Minute}, func() time.Time { return epochStart })
-	target := onePlan(1, plan.Share{Place: "a", PPM: plan.Whole})
+	target := singleFlowPlan(1, plan.Share{Place: "a", PPM: plan.Whole})
 	s.Advance(target)
 	if n := testing.AllocsPerRun(100, func() { s.Advance(target) }); n != 0 {
-		t.Fatalf("%v allocations", n)
+		t.Fatalf("%v allocations per call, want 0", n)
 	}
 }
 
-// Operators see which plan a node follows. A node whose cap is used up follows
-// the newer plan all the same, and must not show the older one.
-func TestHeldNodeShowsThePlanItFollows(t *testing.T) {
+// A node whose cap is used up still reports the version of the newest plan.
+func TestHeldNodeReportsNewestPlan(t *testing.T) {
 	s := New(model.MoveLimits{Share: 0.1, Window: time.Minute}, func() time.Time { return epochStart })
-	s.Advance(onePlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
-	s.Advance(onePlan(2, plan.Share{Place: "b", PPM: plan.Whole}))
-	effective, held := s.Advance(onePlan(3, plan.Share{Place: "c", PPM: plan.Whole}))
+	s.Advance(singleFlowPlan(1, plan.Share{Place: "a", PPM: plan.Whole}))
+	s.Advance(singleFlowPlan(2, plan.Share{Place: "b", PPM: plan.Whole}))
+	effective, held := s.Advance(singleFlowPlan(3, plan.Share{Place: "c", PPM: plan.Whole}))
 	if effective.Sequence != 3 || !held {
-		t.Fatalf("shows plan %d, held %v", effective.Sequence, held)
+		t.Fatalf("sequence %d, held %v, want 3 and true", effective.Sequence, held)
 	}
 }
