--- a/steering/cell.go
+++ b/steering/cell.go
@@ -83,16 +83,16 @@
 	}
 }
 
-// targetShare returns the share of known targets that are usable, not counting
-// the given number of usable ones.
-func (c *cell) targetShare(without int) float64 {
+// targetShare returns the share of known targets that are usable, leaving out
+// excluded of the usable ones.
+func (c *cell) targetShare(excluded int) float64 {
 	if c.state != nil && c.state.NoTargets {
 		return 0
 	}
 	if c.state == nil || c.state.Known <= 0 {
 		return 1
 	}
-	return min(1, float64(max(c.state.Usable-without, 0))/float64(c.state.Known))
+	return min(1, float64(max(c.state.Usable-excluded, 0))/float64(c.state.Known))
 }
 
 // failed reports whether all traffic must leave the cell. The last state counts
--- a/steering/cold.go
+++ b/steering/cold.go
@@ -85,24 +85,24 @@
 }
 
 func addFailureMove(histories map[cellKey]*failureHistory, key cellKey, m *Move) {
-	e := histories[key]
-	if e == nil {
-		e = &failureHistory{}
-		histories[key] = e
+	h := histories[key]
+	if h == nil {
+		h = &failureHistory{}
+		histories[key] = h
 	}
-	e.moves = append(e.moves, *m)
+	h.moves = append(h.moves, *m)
 }
 
 // holdDown returns the remaining time for which traffic does not return, and the
 // number of times it left. The time doubles with each failure after a return, so
 // that a flapping place is used less and less.
-func (e *failureHistory) holdDown() (time.Duration, int) {
-	sortOldestFirst(e.moves)
+func (h *failureHistory) holdDown() (time.Duration, int) {
+	sortOldestFirst(h.moves)
 	failures := 0
 	away := false
 	last := time.Duration(-1)
-	for i := range e.moves {
-		m := &e.moves[i]
+	for i := range h.moves {
+		m := &h.moves[i]
 		if m.Delta > 0 {
 			away = false
 			continue
@@ -116,6 +116,6 @@
 	if last < 0 {
 		return 0, 0
 	}
-	hold := holdDown << min(failures-1, maxHoldDownDoublings)
-	return max(hold-last, 0), failures
+	total := holdDown << min(failures-1, maxHoldDownDoublings)
+	return max(total-last, 0), failures
 }
--- a/steering/drain.go
+++ b/steering/drain.go
@@ -71,10 +71,10 @@
 	remaining := max(s.places[place].drain.schedule.End.Sub(s.in.Now), 0)
 	windows := int64(remaining / s.account.Moves.Window)
 	share := int64(f.shares[place])
-	can := max(f.budget, 0) + windows*s.capPPM
-	if share <= can {
+	movable := max(f.budget, 0) + windows*s.capPPM
+	if share <= movable {
 		return 0, 0
 	}
-	late := (share - can + s.capPPM - 1) / s.capPPM
-	return float64(share-can) / plan.Whole, time.Duration(late) * s.account.Moves.Window
+	late := (share - movable + s.capPPM - 1) / s.capPPM
+	return float64(share-movable) / plan.Whole, time.Duration(late) * s.account.Moves.Window
 }
--- a/steering/moved.go
+++ b/steering/moves.go
@@ -14,12 +14,12 @@
 		s.chargeMove(m)
 		s.recordCellMove(m, histories)
 	}
-	for key, e := range histories {
+	for key, h := range histories {
 		service := s.serviceIndex(key.service)
 		place, ok := s.placeIndex[key.place]
 		if ok && service >= 0 {
 			c := &s.cells[service][place]
-			c.holdDown, c.failureCount = e.holdDown()
+			c.holdDown, c.failureCount = h.holdDown()
 		}
 	}
 	for i := range s.in.Lagging {
@@ -40,8 +40,8 @@
 	s.charge(m.Service, m.Caller, int64(m.Delta))
 }
 
-func (s *solver) chargeLagging(b *LaggingShare) {
-	s.charge(b.Service, b.Caller, int64(b.PPM))
+func (s *solver) chargeLagging(l *LaggingShare) {
+	s.charge(l.Service, l.Caller, int64(l.PPM))
 }
 
 func (s *solver) charge(service model.ServiceName, caller model.RegionName, ppm int64) {
--- a/steering/property_test.go
+++ b/steering/property_test.go
@@ -109,19 +109,19 @@
 	}
 	limit := int64(in.Account.Moves.Share * plan.Whole)
 	for _, f := range d.Plan.Flows {
-		lately, now := int64(0), int64(0)
+		recent, moved := int64(0), int64(0)
 		for _, m := range in.RecentMoves {
 			if m.Service == f.Service && m.Caller == f.Caller && m.Delta > 0 && m.Age <= in.Account.Moves.Window {
-				lately += int64(m.Delta)
+				recent += int64(m.Delta)
 			}
 		}
 		for _, m := range d.Moves {
 			if m.Service == f.Service && m.Caller == f.Caller && m.Delta > 0 {
-				now += int64(m.Delta)
+				moved += int64(m.Delta)
 			}
 		}
-		if now > max(0, limit-lately) {
-			t.Fatalf("%s from %s moved %d ppm after %d ppm within the window, cap %d", f.Service, f.Caller, now, lately, limit)
+		if moved > max(0, limit-recent) {
+			t.Fatalf("%s from %s moved %d ppm after %d ppm within the window, cap %d", f.Service, f.Caller, moved, recent, limit)
 		}
 	}
 }
--- a/steering/reasons.go
+++ b/steering/reasons.go
@@ -21,14 +21,14 @@
 	if f.frozen() {
 		reasons = append(reasons, s.reason(f, -1, KindStale, f.demandAge.Seconds(), FreezeAge.Seconds(), 0))
 	}
-	used := s.mostExpensive(f)
-	soonest := s.lowestLatencyPlace(f)
+	mostExpensive := s.mostExpensive(f)
+	fastest := s.lowestLatencyPlace(f)
 	for p := range s.places {
 		if f.shares[p] > 0 {
-			reasons = s.usedReasons(reasons, f, p, soonest)
+			reasons = s.usedReasons(reasons, f, p, fastest)
 		}
 	}
-	if used < 0 {
+	if mostExpensive < 0 {
 		return reasons
 	}
 	if !f.isNew && f.budget <= 0 {
@@ -36,8 +36,8 @@
 		reasons = append(reasons, s.reason(f, -1, KindMoveCap, part, float64(s.capPPM)/plan.Whole, 0))
 	}
 	for p := range s.places {
-		if p != used {
-			reasons = s.exclusionReasons(reasons, f, used, p)
+		if p != mostExpensive {
+			reasons = s.exclusionReasons(reasons, f, mostExpensive, p)
 		}
 	}
 	return reasons
@@ -45,12 +45,12 @@
 
 // usedReasons explains the share of a place, or why a forced move out of it is not
 // finished.
-func (s *solver) usedReasons(reasons []Reason, f *flow, place, soonest int) []Reason {
+func (s *solver) usedReasons(reasons []Reason, f *flow, place, fastest int) []Reason {
 	if kind, _ := s.mustLeave(f, place); kind != KindNone {
 		return s.leaveReasons(reasons, f, place, kind)
 	}
 	latency := s.latencyMS(f, place)
-	best := s.latencyMS(f, soonest)
+	best := s.latencyMS(f, fastest)
 	if latency <= best {
 		return append(reasons, s.reason(f, place, KindLatency, latency, best, 0))
 	}
@@ -71,14 +71,14 @@
 
 // exclusionReasons explains what keeps a flow out of a place that is better than
 // the most expensive one in use.
-func (s *solver) exclusionReasons(reasons []Reason, f *flow, used, place int) []Reason {
+func (s *solver) exclusionReasons(reasons []Reason, f *flow, mostExpensive, place int) []Reason {
 	extra := f.rps(quantum)
-	cheaper := s.cost(f, place, extra) < s.cost(f, used, 0)-deadBand
-	sooner := s.latencyMS(f, place) < s.latencyMS(f, used)
-	if !cheaper && !sooner || s.cells[f.service][place].configuredCapacity <= 0 || s.places[place].region < 0 {
+	cheaper := s.cost(f, place, extra) < s.cost(f, mostExpensive, 0)-deadBand
+	faster := s.latencyMS(f, place) < s.latencyMS(f, mostExpensive)
+	if !cheaper && !faster || s.cells[f.service][place].configuredCapacity <= 0 || s.places[place].region < 0 {
 		return reasons
 	}
-	r := s.spareCapacityFor(f, used, place)
+	r := s.spareCapacityFor(f, mostExpensive, place)
 	if r.kind != KindNone && r.rps < extra {
 		return append(reasons, s.reasonFor(f, place, r.kind))
 	}
@@ -140,14 +140,14 @@
 // lowestLatencyPlace returns the place with the lowest latency among those with
 // capacity.
 func (s *solver) lowestLatencyPlace(f *flow) int {
-	soonest := 0
+	fastest := 0
 	for p := range s.places {
 		if s.cells[f.service][p].configuredCapacity <= 0 || s.places[p].region < 0 {
 			continue
 		}
-		if s.cells[f.service][soonest].configuredCapacity <= 0 || s.latencyMS(f, p) < s.latencyMS(f, soonest) {
-			soonest = p
+		if s.cells[f.service][fastest].configuredCapacity <= 0 || s.latencyMS(f, p) < s.latencyMS(f, fastest) {
+			fastest = p
 		}
 	}
-	return soonest
+	return fastest
 }
--- a/steering/step/interpolate.go
+++ b/steering/step/interpolate.go
@@ -9,18 +9,18 @@
 // the total stays plan.Whole. Inputs and result are sorted by place.
 func interpolate(from, to []plan.Share, budget uint32) ([]plan.Share, uint32) {
 	changes := mergeShares(from, to)
-	want := uint32(0)
+	total := uint32(0)
 	for _, p := range changes {
-		want += p.increase()
+		total += p.increase()
 	}
-	if want <= budget {
-		return to, want
+	if total <= budget {
+		return to, total
 	}
 	if budget == 0 {
 		return from, 0
 	}
-	moved := applyIncreases(changes, budget, want)
-	applyDecreases(changes, moved, want)
+	moved := applyIncreases(changes, budget, total)
+	applyDecreases(changes, moved, total)
 	return nonZeroShares(changes), moved
 }
 
@@ -65,11 +65,11 @@
 
 // applyIncreases applies each increase in proportion to the budget, rounded down, and
 // returns the sum.
-func applyIncreases(changes []shareChange, budget, want uint32) uint32 {
+func applyIncreases(changes []shareChange, budget, total uint32) uint32 {
 	sum := uint32(0)
 	for i := range changes {
 		p := &changes[i]
-		part := uint32(uint64(p.increase()) * uint64(budget) / uint64(want))
+		part := uint32(uint64(p.increase()) * uint64(budget) / uint64(total))
 		p.share.PPM = p.current + part
 		sum += part
 	}
@@ -78,14 +78,14 @@
 
 // applyDecreases applies decreases that add up to moved: each in proportion, rounded
 // down, and the remainder to the first places that can still decrease.
-func applyDecreases(changes []shareChange, moved, want uint32) {
+func applyDecreases(changes []shareChange, moved, total uint32) {
 	left := moved
 	for i := range changes {
 		p := &changes[i]
 		if p.decrease() == 0 {
 			continue
 		}
-		part := uint32(uint64(p.decrease()) * uint64(moved) / uint64(want))
+		part := uint32(uint64(p.decrease()) * uint64(moved) / uint64(total))
 		p.share.PPM = p.current - part
 		left -= part
 	}
