--- a/steering/empty_test.go
+++ b/steering/empty_test.go
@@ -18,6 +18,6 @@
 	})
 	after := shareAt(decisions[len(decisions)-1].Plan, 0, lost)
 	if before == 0 || after != 0 {
-		t.Fatalf("the place without targets had %d ppm and has %d, want 0 of more than 0", before, after)
+		t.Fatalf("place without targets had %d ppm before and %d after, want more than 0 and 0", before, after)
 	}
 }
