--- a/proxy/account_state.go
+++ b/proxy/account_state.go
@@ -206,8 +206,8 @@
 
 // updateRelocationBudgets passes the unused part of the move cap to each flow.
 func (s *accountState) updateRelocationBudgets() {
-	for key, e := range s.relocations {
-		e.setCapLeft(s.stepper.Left(key.service, key.caller))
+	for key, budget := range s.relocations {
+		budget.setCapLeft(s.stepper.Left(key.service, key.caller))
 	}
 }
 
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -20,9 +20,9 @@
 	if r.ContentLength > limit {
 		return refuse(result.RequestTooLarge)
 	}
-	if coming := incompleteBody(r.Body); coming != nil {
-		q.partialBody = coming
-		q.out.Source = coming
+	if partial := incompleteBody(r.Body); partial != nil {
+		q.partialBody = partial
+		q.out.Source = partial
 		q.out.Length = r.ContentLength
 		return nil
 	}
--- a/proxy/drain_test.go
+++ b/proxy/drain_test.go
@@ -39,16 +39,16 @@
 	target, release := newBlockedTarget(t)
 	p := newTestProxy(t, nil, target.address())
 	s := startIngress(t, p)
-	inHand, inHandAnswer := dialCaller(t, s)
-	late, lateAnswer := dialCaller(t, s)
+	inFlight, inFlightReader := dialCaller(t, s)
+	late, lateReader := dialCaller(t, s)
 	text := "POST /orders HTTP/1.1\r\n" + requestHead + "Content-Length: 1\r\n\r\nx"
-	_, _ = io.WriteString(inHand, text)
+	_, _ = io.WriteString(inFlight, text)
 	waitUntil(func() bool { return target.requests.Load() == 1 })
 	p.gate.Close()
 	_, _ = io.WriteString(late, text)
-	wantClosingAnswer(t, lateAnswer, "114")
+	wantClosingAnswer(t, lateReader, "114")
 	release()
-	wantClosingAnswer(t, inHandAnswer, "0")
+	wantClosingAnswer(t, inFlightReader, "0")
 }
 
 // After DisableKeepAlives requests are still served, and each response closes
@@ -57,13 +57,13 @@
 	p, _ := newServingProxy(t, nil)
 	wantResult(t, callWithinGrant(p, http.MethodPost, "/orders", "x"), result.OK)
 	s := startIngress(t, p)
-	served, servedAnswer := dialCaller(t, s)
-	refused, refusedAnswer := dialCaller(t, s)
+	served, servedReader := dialCaller(t, s)
+	refused, refusedReader := dialCaller(t, s)
 	p.DisableKeepAlives()
 	_, _ = io.WriteString(served, "POST /orders HTTP/1.1\r\n"+requestHead+"Content-Length: 1\r\n\r\nx")
-	wantClosingAnswer(t, servedAnswer, "0")
+	wantClosingAnswer(t, servedReader, "0")
 	_, _ = io.WriteString(refused, "POST /orders HTTP/1.1\r\nHost: entry\r\nContent-Length: 1\r\n\r\nx")
-	wantClosingAnswer(t, refusedAnswer, "100")
+	wantClosingAnswer(t, refusedReader, "100")
 }
 
 func wantClosingAnswer(t *testing.T, reader *bufio.Reader, want string) {
--- a/proxy/limits_test.go
+++ b/proxy/limits_test.go
@@ -47,8 +47,8 @@
 // Excess is queued if the account wants it, and refused at once if the deadline
 // cannot be met.
 func TestExcessQueuesWithinDeadline(t *testing.T) {
-	waits := func(_ *Options, m *model.Account) { m.Excess = model.ExcessWait }
-	p, target := newServingProxy(t, waits)
+	queueExcess := func(_ *Options, m *model.Account) { m.Excess = model.ExcessWait }
+	p, target := newServingProxy(t, queueExcess)
 	p.SetGrants(testGrants(2, 100*grant.PerRequest))
 	for range 10 {
 		wantResult(t, call(p, http.MethodGet, "/stock", ""), result.OK)
@@ -151,12 +151,12 @@
 	next.Flows[0].Shares = []plan.Share{{Place: "kr-busan-a", PPM: plan.Whole}}
 	p.SetPlan(next)
 	p.SetTargets(listOf())
-	told := map[string]int{}
+	results := map[string]int{}
 	for range 100 {
-		told[call(p, http.MethodGet, "/stock", "").Header().Get(result.HeaderResult)]++
+		results[call(p, http.MethodGet, "/stock", "").Header().Get(result.HeaderResult)]++
 	}
-	if told["111"] < 89 {
-		t.Fatalf("results %v", told)
+	if results["111"] < 89 {
+		t.Fatalf("results %v", results)
 	}
 }
 
@@ -201,10 +201,10 @@
 // Requests that wait for the grant must raise a shortage report, limited in
 // rate.
 func TestGrantShortageIsReported(t *testing.T) {
-	var told atomic.Int32
+	var reports atomic.Int32
 	p, _ := newServingProxy(t, func(o *Options, m *model.Account) {
 		m.Excess = model.ExcessWait
-		o.OnGrantShortage = func(model.AccountName) { told.Add(1) }
+		o.OnGrantShortage = func(model.AccountName) { reports.Add(1) }
 	})
 	p.SetGrants(testGrants(2, 10*grant.PerRequest))
 	began := time.Now()
@@ -213,8 +213,8 @@
 		waiting.Go(func() { call(p, http.MethodGet, "/stock", "") })
 	}
 	waiting.Wait()
-	most := int32(time.Since(began)/shortageReportInterval) + 1
-	if n := told.Load(); n == 0 || n > most {
-		t.Errorf("%d reports, want 1 to %d", n, most)
+	maxReports := int32(time.Since(began)/shortageReportInterval) + 1
+	if n := reports.Load(); n == 0 || n > maxReports {
+		t.Errorf("%d reports, want 1 to %d", n, maxReports)
 	}
 }
--- a/proxy/options.go
+++ b/proxy/options.go
@@ -66,8 +66,8 @@
 	// KeptAnswerBytes bounds the total size of the answers kept for repeats of
 	// requests with an idempotency key; 0 keeps none.
 	KeptAnswerBytes int64
-	// FetchAnswer may be nil; a repeat that arrives through another node than the
-	// original request is then refused as a duplicate.
+	// FetchAnswer may be nil; a repeat that arrives through another node than
+	// the original request is then refused as a duplicate.
 	FetchAnswer FetchAnswerFunc
 	// MaxBufferedBytes bounds the total size of the bodies in memory; 0 means
 	// DefaultBufferedBytes.
--- a/proxy/overload_test.go
+++ b/proxy/overload_test.go
@@ -70,11 +70,11 @@
 	for began := time.Now(); time.Since(began) < length; {
 		time.Sleep(time.Duration(random.ExpFloat64() / rate * float64(time.Second)))
 		all.Go(func() {
-			came := time.Now()
+			start := time.Now()
 			w := call(p, http.MethodPost, "/orders", "x", result.HeaderDeadline, strconv.FormatInt(deadline.Milliseconds(), 10))
 			mu.Lock()
 			defer mu.Unlock()
-			sum.count(w.Header(), time.Since(came) > deadline/2)
+			sum.count(w.Header(), time.Since(start) > deadline/2)
 		})
 	}
 	all.Wait()
--- a/proxy/proxy.go
+++ b/proxy/proxy.go
@@ -131,8 +131,8 @@
 func (p *Proxy) InFlight() int { return p.gate.Open() }
 
 // DisableKeepAlives closes each caller connection after its next response;
-// requests are still served. Call it before Drain: a request sent on a connection
-// that the exiting node closes would end with an unknown outcome.
+// requests are still served. Call it before Drain: a request sent on a
+// connection that the exiting node closes would end with an unknown outcome.
 func (p *Proxy) DisableKeepAlives() { p.keepAlivesDisabled.Store(true) }
 
 // Drain refuses new requests as not run and returns when those in flight have
--- a/proxy/refusal_test.go
+++ b/proxy/refusal_test.go
@@ -53,10 +53,10 @@
 				if c.setup != nil {
 					c.setup(p)
 				}
-				came := time.Now()
+				start := time.Now()
 				w := call(p, http.MethodPost, "/orders", "an order", result.HeaderDeadline, "5000")
 				wantResult(t, w, c.want)
-				if took := time.Since(came); took != 0 {
+				if took := time.Since(start); took != 0 {
 					t.Errorf("refused after %s", took)
 				}
 				if result.RetryAfter(w.Header()) <= 0 || w.Header().Get("Retry-After") == "" {
@@ -90,16 +90,16 @@
 		}
 		synctest.Wait()
 		time.AfterFunc(time.Second, func() { p.SetTargets(listOf()) })
-		came := time.Now()
+		start := time.Now()
 		wantResult(t, call(p, http.MethodPost, "/orders", "x", result.HeaderDeadline, "20000"), result.NoTarget)
-		if took := time.Since(came); took != time.Second {
+		if took := time.Since(start); took != time.Second {
 			t.Errorf("refused after %s", took)
 		}
 		time.Sleep(30 * time.Second)
 	})
 }
 
-// Callers refused together must be told to return one after the other at the
+// Callers refused together must get times to return one after the other at the
 // rate of the grant.
 func TestRetryAfterSpreadsCallers(t *testing.T) {
 	const callers, rate = 80, 100.0
--- a/proxy/relocation.go
+++ b/proxy/relocation.go
@@ -14,9 +14,10 @@
 // maxSavedRelocations bounds the relocations that accumulate at low traffic.
 const maxSavedRelocations = 2
 
-// relocationBudget limits, for one flow on this node, the retries that run in
-// another place than the one that refused them. Without it the retries of a
-// failing place would move more traffic than the account's move cap allows.
+// relocationBudget limits, for one flow on this node, the requests that a caller
+// retries and that run in another place than the one that refused them. Without
+// it the retries from a failing place would move more traffic than the account's
+// move cap allows.
 // Each first request earns the part of the cap that the node's own moves have
 // left unused.
 type relocationBudget struct {
@@ -29,10 +30,10 @@
 	return &relocationBudget{budget: retrybudget.New(0, maxSavedRelocations)}
 }
 
-func (e *relocationBudget) setCapLeft(share float64) { e.capLeft.Store(math.Float64bits(share)) }
+func (b *relocationBudget) setCapLeft(share float64) { b.capLeft.Store(math.Float64bits(share)) }
 
 // addFirstRequest credits the budget for a request that is not a retry.
-func (e *relocationBudget) addFirstRequest() { e.budget.Fresh(math.Float64frombits(e.capLeft.Load())) }
+func (b *relocationBudget) addFirstRequest() { b.budget.Fresh(math.Float64frombits(b.capLeft.Load())) }
 
 // choosePlace chooses the place of a request by the current shares. A request
 // that was refused in a place returns to it unless the budget allows a
--- a/proxy/relocation_test.go
+++ b/proxy/relocation_test.go
@@ -44,7 +44,7 @@
 	const first = 200
 	for _, c := range []struct{ share, left float64 }{{0.1, 0}, {0.6, 0.1}} {
 		p := newTwoPlaceProxy(t, c.share)
-		refused, elsewhere := 0, 0
+		refused, relocated := 0, 0
 		for range first {
 			w := callWithinGrant(p, http.MethodGet, "/stock", "")
 			at := w.Header().Get(result.HeaderRefusedPlace)
@@ -55,13 +55,13 @@
 			refused++
 			w = callWithinGrant(p, http.MethodGet, "/stock", "", result.HeaderRefusedPlace, at)
 			if w.Header().Get(result.HeaderPlace) == otherPlace {
-				elsewhere++
+				relocated++
 				continue
 			}
 			wantResult(t, w, result.ConnectFailed)
 		}
-		if most := int(c.left*first) + maxSavedRelocations; elsewhere > most || elsewhere < int(c.left*first)/2 {
-			t.Errorf("cap %v: %d of %d refused requests ran in another place, want at most %d", c.share, elsewhere, refused, most)
+		if most := int(c.left*first) + maxSavedRelocations; relocated > most || relocated < int(c.left*first)/2 {
+			t.Errorf("cap %v: %d of %d refused requests ran in another place, want at most %d", c.share, relocated, refused, most)
 		}
 	}
 }
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -17,8 +17,8 @@
 }
 
 // isDuplicate reports whether the request's key was already recorded.
-func (e response) isDuplicate() bool {
-	return e.answer == nil && e.refusal.code == result.DuplicateKey
+func (r response) isDuplicate() bool {
+	return r.answer == nil && r.refusal.code == result.DuplicateKey
 }
 
 func refusalResponse(r *refusal) response { return response{refusal: r} }
--- a/proxy/retry_schedule.go
+++ b/proxy/retry_schedule.go
@@ -19,22 +19,22 @@
 
 // next returns the Retry-After for a place that can serve the next request
 // after wait and rate requests per second from then on.
-func (c *retrySchedule) next(now time.Time, wait time.Duration, rate float64) time.Duration {
+func (s *retrySchedule) next(now time.Time, wait time.Duration, rate float64) time.Duration {
 	wait = min(wait, maxRetryAfter)
 	if rate <= 0 {
 		return maxRetryAfter/2 + rand.N(maxRetryAfter/2)
 	}
 	gap := time.Duration(min(1/rate, maxRetryAfter.Seconds()) * float64(time.Second))
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	at := now.Add(wait)
-	if own := c.last.Add(gap); own.After(at) {
-		at = own
+	if slot := s.last.Add(gap); slot.After(at) {
+		at = slot
 	}
 	after := at.Sub(now)
 	if after >= maxRetryAfter {
 		return maxRetryAfter - rand.N(max(1, maxRetryAfter-wait))
 	}
-	c.last = at
+	s.last = at
 	return after + rand.N(max(1, gap))
 }
--- a/proxy/retry_test.go
+++ b/proxy/retry_test.go
@@ -45,7 +45,7 @@
 		}
 		// The idempotent requests had the bad target ejected. A new proxy may
 		// choose either target first.
-		for met := bad.requests.Load(); bad.requests.Load() == met; {
+		for before := bad.requests.Load(); bad.requests.Load() == before; {
 			sendOrderOnce(t, newTestProxy(t, nil, bad.address(), good.address()), path, bad, good)
 		}
 	}
