--- a/proxy/account_state.go
+++ b/proxy/account_state.go
@@ -191,11 +191,11 @@
 
 func (s *accountState) flowView(flow *plan.Flow, state *serviceState) *flowView {
 	key := flowKey{flow.Service, flow.Caller}
-	s.pickers[key] = pick.NewAfter(s.pickers[key], flow)
+	s.pickers[key] = pick.New(s.pickers[key], flow)
 	if s.relocations[key] == nil {
 		s.relocations[key] = newRelocationBudget()
 	}
-	s.relocations[key].setCapLeft(s.stepper.Left(flow.Service, flow.Caller))
+	s.relocations[key].setCapLeft(s.stepper.RemainingBudget(flow.Service, flow.Caller))
 	return &flowView{
 		chooser:     s.pickers[key],
 		shares:      flow.Shares,
@@ -207,7 +207,7 @@
 // updateRelocationBudgets passes the unused part of the move cap to each flow.
 func (s *accountState) updateRelocationBudgets() {
 	for key, budget := range s.relocations {
-		budget.setCapLeft(s.stepper.Left(key.service, key.caller))
+		budget.setCapLeft(s.stepper.RemainingBudget(key.service, key.caller))
 	}
 }
 
