--- a/node/admin.go
+++ b/node/admin.go
@@ -93,7 +93,7 @@
 func wireForecast(f *forecast.Forecast, pictureAgeMs int64) *wire.Forecast {
 	out := &wire.Forecast{
 		MovedPercent:  f.MovedPercent,
-		DurationMS:    f.TakesMS,
+		DurationMS:    f.DurationMS,
 		CapacityHolds: f.CapacityHolds,
 		PictureAgeMS:  pictureAgeMs,
 	}
@@ -106,7 +106,7 @@
 			ToPercent:   c.After,
 		})
 	}
-	for _, o := range f.Over {
+	for _, o := range f.Shortfalls {
 		out.Reasons = append(out.Reasons, fmt.Sprintf("%s asks for %.0f requests/s and may carry %.0f", o.Service, o.DemandRPS, o.CarriedRPS))
 	}
 	if !f.Settled {
--- a/node/insight.go
+++ b/node/insight.go
@@ -27,7 +27,7 @@
 	if !ok {
 		return &peerpb.ExplainResponse{Code: uint32(result.NotLeader)}, nil
 	}
-	report, err := json.Marshal(explain.Of(decision))
+	report, err := json.Marshal(explain.NewReport(decision))
 	if err != nil {
 		return nil, err
 	}
@@ -37,7 +37,7 @@
 // Forecast implements peerpb.InsightServer.
 func (s *insightServer) Forecast(_ context.Context, r *peerpb.ForecastRequest) (*peerpb.ForecastResponse, error) {
 	name := model.AccountName(r.Account)
-	input, known := s.node.planner.Last(name)
+	input, known := s.node.planner.LastInput(name)
 	if _, deciding := s.node.decision(name); !deciding || !known {
 		return &peerpb.ForecastResponse{Code: uint32(result.NotLeader)}, nil
 	}
--- a/steering/aggregate/aggregator.go
+++ b/steering/aggregate/aggregator.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Read takes in the last reports of all nodes and the moves made lately, and
+// Update takes in the last reports of all nodes and the moves made lately, and
 // returns the demand and the state of the places at now, sorted.
-func (a *Aggregator) Read(account *model.Account, reports []Report, moved []steering.Move, now time.Time) ([]steering.Demand, []steering.PlaceState) {
+func (a *Aggregator) Update(account *model.Account, reports []Report, moved []steering.Move, now time.Time) ([]steering.Demand, []steering.PlaceState) {
 	since := now.Sub(a.read)
 	if a.read.IsZero() {
 		since = math.MaxInt64
--- a/steering/aggregate/aggregator_test.go
+++ b/steering/aggregate/aggregator_test.go
@@ -33,7 +33,7 @@
 		reportOf(0, 300, observe.PlaceLoad{SentRPS: 300, Targets: 4, Known: 4}),
 		reportOf(40*time.Second, 100, observe.PlaceLoad{SentRPS: 100, Targets: 0, Known: 4}),
 	}
-	demand, places := New().Read(account, reports, nil, start)
+	demand, places := New().Update(account, reports, nil, start)
 	if demand[0].RPS != 400 || demand[0].Age != 10*time.Second {
 		t.Fatalf("demand %+v", demand[0])
 	}
@@ -47,7 +47,7 @@
 func TestOneNodeWeighsItsPart(t *testing.T) {
 	well := observe.PlaceLoad{SentRPS: 90, Targets: 4, Known: 4, P99: 20 * time.Millisecond}
 	cut := observe.PlaceLoad{SentRPS: 10, Targets: 0, Known: 4, FailureShare: 1}
-	_, places := New().Read(account, []Report{reportOf(0, 1, well), reportOf(0, 1, well), reportOf(0, 1, well), reportOf(0, 1, cut)}, nil, start)
+	_, places := New().Update(account, []Report{reportOf(0, 1, well), reportOf(0, 1, well), reportOf(0, 1, well), reportOf(0, 1, cut)}, nil, start)
 	if p := places[0]; p.Usable != 12 || p.Known != 16 || p.FailureShare > 0.04 || p.P99 != 20*time.Millisecond {
 		t.Fatalf("place %+v", p)
 	}
@@ -60,11 +60,11 @@
 func TestLostNodeDoesNotKeepItsPlace(t *testing.T) {
 	lost := reportOf(10*time.Second, 1, observe.PlaceLoad{SentRPS: 90, Targets: 4, Known: 4})
 	other := reportOf(0, 1, observe.PlaceLoad{})
-	_, places := New().Read(account, []Report{lost, other, other, other}, nil, start)
+	_, places := New().Update(account, []Report{lost, other, other, other}, nil, start)
 	if p := places[0]; p.Usable != 4 || p.Known != 16 || p.Empty {
 		t.Fatalf("place %+v", p)
 	}
-	_, places = New().Read(account, []Report{other, other, other}, nil, start)
+	_, places = New().Update(account, []Report{other, other, other}, nil, start)
 	if p := places[0]; !p.Empty {
 		t.Fatalf("place %+v, want it empty", p)
 	}
@@ -75,15 +75,15 @@
 func TestWarmLatencyLeavesOutIncreases(t *testing.T) {
 	b := New()
 	load := observe.PlaceLoad{SentRPS: 100, Targets: 4, Known: 4, P99: 20 * time.Millisecond}
-	b.Read(account, []Report{reportOf(0, 100, load)}, nil, start)
+	b.Update(account, []Report{reportOf(0, 100, load)}, nil, start)
 	load.P99 = 90 * time.Millisecond
 	rise := []steering.Move{{Service: "desk", Caller: "seoul", Place: "a", Delta: 1000, Age: 5 * time.Second}}
-	_, places := b.Read(account, []Report{reportOf(0, 100, load)}, rise, start.Add(10*time.Second))
+	_, places := b.Update(account, []Report{reportOf(0, 100, load)}, rise, start.Add(10*time.Second))
 	if places[0].WarmP99 != 20*time.Millisecond || places[0].P99 < 80*time.Millisecond {
 		t.Fatalf("place %+v", places[0])
 	}
 	rise[0].Age = time.Hour
-	_, places = b.Read(account, []Report{reportOf(0, 100, load)}, rise, start.Add(10*time.Minute))
+	_, places = b.Update(account, []Report{reportOf(0, 100, load)}, rise, start.Add(10*time.Minute))
 	if places[0].WarmP99 < 85*time.Millisecond {
 		t.Fatalf("a place that stays slow keeps the old measure: %+v", places[0])
 	}
@@ -93,7 +93,7 @@
 func TestInvalidRatesAreLeftOut(t *testing.T) {
 	nan := 0.0
 	nan /= nan
-	demand, _ := New().Read(account, []Report{reportOf(0, 100, observe.PlaceLoad{SentRPS: nan}), reportOf(0, nan, observe.PlaceLoad{SentRPS: -1})}, nil, start)
+	demand, _ := New().Update(account, []Report{reportOf(0, 100, observe.PlaceLoad{SentRPS: nan}), reportOf(0, nan, observe.PlaceLoad{SentRPS: -1})}, nil, start)
 	if len(demand) != 1 || demand[0].RPS != 100 {
 		t.Fatalf("demand %+v", demand)
 	}
@@ -106,7 +106,7 @@
 	b := New()
 	usable := func(second, targets int) int {
 		load := observe.PlaceLoad{SentRPS: 100, Targets: targets, Known: 4}
-		_, places := b.Read(account, []Report{reportOf(0, 100, load)}, nil, start.Add(time.Duration(second)*time.Second))
+		_, places := b.Update(account, []Report{reportOf(0, 100, load)}, nil, start.Add(time.Duration(second)*time.Second))
 		return places[0].Usable - places[0].Unsteady
 	}
 	if usable(0, 4) != 4 {
@@ -153,11 +153,11 @@
 // capacity, and would draw room from the others each time.
 func TestQuietFlowIsKnownToBeQuiet(t *testing.T) {
 	reports := []Report{{Age: 2 * time.Second}, {Age: 4 * time.Second}}
-	demand, _ := New().Read(account, reports, nil, start)
+	demand, _ := New().Update(account, reports, nil, start)
 	if len(demand) != 1 || demand[0].RPS != 0 || demand[0].Age != 3*time.Second {
 		t.Fatalf("demand %+v", demand)
 	}
-	if demand, _ = New().Read(account, nil, nil, start); len(demand) != 0 {
+	if demand, _ = New().Update(account, nil, nil, start); len(demand) != 0 {
 		t.Fatalf("demand without any report: %+v", demand)
 	}
 }
@@ -170,7 +170,7 @@
 	share := func(sent, failed float64) float64 {
 		second++
 		load := observe.PlaceLoad{SentRPS: sent, FailureShare: failed, Targets: 4, Known: 4}
-		_, places := b.Read(account, []Report{reportOf(0, sent, load)}, nil, start.Add(time.Duration(second)*time.Second))
+		_, places := b.Update(account, []Report{reportOf(0, sent, load)}, nil, start.Add(time.Duration(second)*time.Second))
 		return places[0].FailureShare
 	}
 	if got := share(3, 0.34); got > 0.19 {
@@ -201,9 +201,9 @@
 		}}}
 		r := reportOf(0, 100, observe.PlaceLoad{SentRPS: 100, Targets: 4, Known: 4, P99: 20 * time.Millisecond})
 		r.Places[0].Place = place
-		a.Read(configured, []Report{r}, nil, start.Add(time.Duration(i)*time.Minute))
+		a.Update(configured, []Report{r}, nil, start.Add(time.Duration(i)*time.Minute))
 	}
-	a.Read(configured, nil, nil, start.Add(101*time.Minute))
+	a.Update(configured, nil, nil, start.Add(101*time.Minute))
 	if len(a.cells) != 1 || len(a.warm) != 1 || len(a.steady) != 1 {
 		t.Errorf("kept %d rates, %d warm latencies, %d steady parts of one place", len(a.cells), len(a.warm), len(a.steady))
 	}
--- a/steering/explain/explain.go
+++ b/steering/explain/explain.go
@@ -58,8 +58,8 @@
 	UsableRPS  float64           `json:"usable_rps"`
 }
 
-// Of explains a decision.
-func Of(d *steering.Decision) *Report {
+// NewReport explains a decision.
+func NewReport(d *steering.Decision) *Report {
 	r := &Report{Account: d.Plan.Account, ConfigRevision: d.Plan.ConfigRevision, Frozen: d.Frozen}
 	for i := range d.Plan.Flows {
 		r.Flows = append(r.Flows, flowOf(d, &d.Plan.Flows[i]))
--- a/steering/explain/explain_test.go
+++ b/steering/explain/explain_test.go
@@ -42,7 +42,7 @@
 		{Service: "dealer-desk", Caller: "kr-busan", RPS: 100},
 	}}
 	d := steering.Decide(in)
-	r := Of(&d)
+	r := NewReport(&d)
 	if r.Flows[0].Shares[1].Place != "kr-seoul-a" || r.Flows[0].Shares[1].Percent != 60 {
 		t.Fatalf("shares %+v", r.Flows[0].Shares)
 	}
--- a/steering/forecast/forecast.go
+++ b/steering/forecast/forecast.go
@@ -25,19 +25,19 @@
 type Forecast struct {
 	// Settled tells that the shares came to rest within an hour.
 	Settled bool `json:"settled"`
-	// TakesMS is the time to the last change, in ms.
-	TakesMS int64 `json:"takes_ms"`
+	// DurationMS is the time to the last change, in ms.
+	DurationMS int64 `json:"takes_ms"`
 	// MovedPercent is the part of the account's traffic that moves in all.
 	MovedPercent float64 `json:"moved_percent"`
 	// Changes lists the shares that end elsewhere than they are now.
 	Changes []Change `json:"changes"`
-	// Over lists where the demand is more than what may be carried: the rest
+	// Shortfalls lists where the demand is more than what may be carried: the rest
 	// would be refused.
-	Over []Over `json:"over,omitempty"`
+	Shortfalls []Shortfall `json:"over,omitempty"`
 	// CapacityHolds tells that Over is empty.
 	CapacityHolds bool `json:"capacity_holds"`
-	// Last is the decision the account comes to rest with.
-	Last steering.Decision `json:"-"`
+	// FinalDecision is the decision the account comes to rest with.
+	FinalDecision steering.Decision `json:"-"`
 }
 
 // Change is one share before and after.
@@ -50,8 +50,8 @@
 	After  float64 `json:"after_percent"`
 }
 
-// Over is a service whose demand passes what the account lets it carry.
-type Over struct {
+// Shortfall is a service whose demand passes what the account lets it carry.
+type Shortfall struct {
 	Service    model.ServiceName `json:"service"`
 	DemandRPS  float64           `json:"demand_rps"`
 	CarriedRPS float64           `json:"carried_rps"`
--- a/steering/forecast/forecast_test.go
+++ b/steering/forecast/forecast_test.go
@@ -41,9 +41,9 @@
 	changed.Places = changed.Places[1:]
 	changed.Services[0].Capacity = changed.Services[0].Capacity[1:]
 	f := Run(input(), changed)
-	takes := time.Duration(f.TakesMS) * time.Millisecond
+	takes := time.Duration(f.DurationMS) * time.Millisecond
 	if !f.Settled || !f.CapacityHolds || takes < 4*time.Minute || takes > 6*time.Minute {
-		t.Fatalf("settled %v after %v, over %v", f.Settled, takes, f.Over)
+		t.Fatalf("settled %v after %v, over %v", f.Settled, takes, f.Shortfalls)
 	}
 	if len(f.Changes) != 2 || f.Changes[0].After != 100 || f.Changes[1].After != 0 {
 		t.Fatalf("changes %+v", f.Changes)
@@ -59,15 +59,15 @@
 	changed.Services[0].Capacity[0].RPS = 100
 	changed.Services[0].Capacity[1].RPS = 500
 	f := Run(input(), changed)
-	if f.CapacityHolds || len(f.Over) != 1 || f.Over[0].CarriedRPS > 600.001 {
-		t.Fatalf("holds %v, over %+v", f.CapacityHolds, f.Over)
+	if f.CapacityHolds || len(f.Shortfalls) != 1 || f.Shortfalls[0].CarriedRPS > 600.001 {
+		t.Fatalf("holds %v, over %+v", f.CapacityHolds, f.Shortfalls)
 	}
 }
 
 // A change of nothing moves nothing and takes no time.
 func TestForecastOfNoChange(t *testing.T) {
 	f := Run(input(), account(1000))
-	if !f.Settled || f.TakesMS != 0 || len(f.Changes) != 0 || !f.CapacityHolds {
+	if !f.Settled || f.DurationMS != 0 || len(f.Changes) != 0 || !f.CapacityHolds {
 		t.Fatalf("%+v", f)
 	}
 }
--- a/steering/forecast/runner.go
+++ b/steering/forecast/runner.go
@@ -102,14 +102,14 @@
 
 func (r *runner) result() Forecast {
 	f := Forecast{
-		Settled:      r.now()-r.last >= still,
-		TakesMS:      r.last.Milliseconds(),
-		MovedPercent: float64(r.moved) * 100 / plan.Whole,
-		Changes:      changes(r.before, r.decision.Plan),
-		Over:         r.over(),
-		Last:         r.decision,
+		Settled:       r.now()-r.last >= still,
+		DurationMS:    r.last.Milliseconds(),
+		MovedPercent:  float64(r.moved) * 100 / plan.Whole,
+		Changes:       changes(r.before, r.decision.Plan),
+		Shortfalls:    r.over(),
+		FinalDecision: r.decision,
 	}
-	f.CapacityHolds = len(f.Over) == 0
+	f.CapacityHolds = len(f.Shortfalls) == 0
 	return f
 }
 
@@ -119,8 +119,8 @@
 
 // over compares the demand of each service with what the last decision lets
 // it carry.
-func (r *runner) over() []Over {
-	var over []Over
+func (r *runner) over() []Shortfall {
+	var over []Shortfall
 	for _, s := range r.in.Account.Services {
 		demand, carried := 0.0, 0.0
 		for _, d := range r.in.Demand {
@@ -134,7 +134,7 @@
 			}
 		}
 		if carried < demand*(1-rounding) {
-			over = append(over, Over{Service: s.Name, DemandRPS: demand, CarriedRPS: carried})
+			over = append(over, Shortfall{Service: s.Name, DemandRPS: demand, CarriedRPS: carried})
 		}
 	}
 	return over
--- a/steering/planner/planner.go
+++ b/steering/planner/planner.go
@@ -70,7 +70,7 @@
 	a := p.account(s.Account.Name, s.Now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	in.Demand, in.Places = a.aggregator.Read(s.Account, reports, in.Moved, s.Now)
+	in.Demand, in.Places = a.aggregator.Update(s.Account, reports, in.Moved, s.Now)
 	in.Behind = a.positions.read(s)
 	if s.Now.Sub(s.TermStart) < settling {
 		// The first reports after a change of decider are a part of the
@@ -86,9 +86,9 @@
 	return in
 }
 
-// Last returns what the last plan of an account was made from, for forecasts;
+// LastInput returns what the last plan of an account was made from, for forecasts;
 // ok is false when this node has made none lately, or knew no demand for it.
-func (p *Planner) Last(name model.AccountName) (in steering.Input, ok bool) {
+func (p *Planner) LastInput(name model.AccountName) (in steering.Input, ok bool) {
 	p.mu.Lock()
 	a := p.accounts[name]
 	p.mu.Unlock()
--- a/steering/planner/planner_test.go
+++ b/steering/planner/planner_test.go
@@ -43,7 +43,7 @@
 func TestNoForecastFromUnknownDemand(t *testing.T) {
 	p := New()
 	p.Plan(situation(start.Add(time.Second)))
-	if last, ok := p.Last("daehan"); ok {
+	if last, ok := p.LastInput("daehan"); ok {
 		t.Errorf("input with demand %v", last.Demand)
 	}
 }
@@ -65,10 +65,10 @@
 	if _, ok := planned.Explanation.(steering.Decision); !ok {
 		t.Fatalf("explanation is a %T", planned.Explanation)
 	}
-	if last, ok := p.Last("daehan"); !ok || len(last.Demand) != 1 || last.Now != s.Now {
+	if last, ok := p.LastInput("daehan"); !ok || len(last.Demand) != 1 || last.Now != s.Now {
 		t.Fatalf("last input %+v", last)
 	}
-	if _, ok := p.Last("alpenvlies"); ok {
+	if _, ok := p.LastInput("alpenvlies"); ok {
 		t.Fatal("an input of an account nobody planned")
 	}
 }
--- a/steering/scenario/world_test.go
+++ b/steering/scenario/world_test.go
@@ -175,7 +175,7 @@
 		return in
 	}
 	reports := []aggregate.Report{{Report: newest.Report, Age: w.now.Sub(newest.at)}}
-	in.Demand, in.Places = w.aggregator.Read(w.account, reports, in.Moved, w.now)
+	in.Demand, in.Places = w.aggregator.Update(w.account, reports, in.Moved, w.now)
 	return in
 }
 
