--- a/steering/planner/fleet_test.go
+++ b/steering/planner/fleet_test.go
@@ -43,10 +43,10 @@
 	// tellsGrants tells that the decider counts grants.
 	tellsGrants bool
 	// at[g] is the node of a group of callers.
-	at        []int
-	positions *positions
-	given     *plan.Plan
-	moves     []ledger.Move
+	at      []int
+	tracker *lagTracker
+	given   *plan.Plan
+	moves   []ledger.Move
 	// since is when the present decider took over.
 	since time.Time
 	// ended are the lives that are over.
@@ -85,11 +85,11 @@
 
 func newFleet(nodes int, charging bool, seed uint64) *fleet {
 	f := &fleet{
-		random:    rand.New(rand.NewPCG(seed, 7)),
-		now:       start,
-		charging:  charging,
-		positions: newPositions(),
-		given:     sharesPlan(1, plan.Whole, 0),
+		random:   rand.New(rand.NewPCG(seed, 7)),
+		now:      start,
+		charging: charging,
+		tracker:  newLagTracker(),
+		given:    sharesPlan(1, plan.Whole, 0),
 	}
 	for i := range nodes {
 		f.nodes = append(f.nodes, f.freshNode(uint64(i+1)))
@@ -176,7 +176,7 @@
 // takeover lets another decider go on: it knows no plan but the last, no
 // report, and takes all moves on record as just made.
 func (f *fleet) takeover() {
-	f.positions = newPositions()
+	f.tracker = newLagTracker()
 	f.since = f.now
 	for i := range f.moves {
 		f.moves[i].At = f.now
@@ -185,7 +185,7 @@
 
 // decide moves towards a, b or c, each for a while, by what the cap leaves.
 func (f *fleet) decide() {
-	if f.now.Sub(f.since) < settling {
+	if f.now.Sub(f.since) < reportGracePeriod {
 		return
 	}
 	budget := int64(fleetLimits.Share * plan.Whole)
@@ -194,7 +194,7 @@
 			budget -= int64(m.Delta)
 		}
 	}
-	behind := f.positions.read(f.situation())
+	behind := f.tracker.update(f.situation())
 	if f.charging && len(behind) > 0 {
 		budget -= int64(behind[0].PPM)
 	}
--- a/steering/planner/positions_bench_test.go
+++ b/steering/planner/lag_tracker_bench_test.go
@@ -17,7 +17,7 @@
 	benchPlaces = 17
 )
 
-// benchPlan differs a little from that of the next sequence.
+// benchPlan returns a plan that differs slightly from the next one.
 func benchPlan(sequence uint64) *plan.Plan {
 	p := &plan.Plan{Epoch: 1, Sequence: sequence}
 	for i := range benchFlows {
@@ -33,9 +33,9 @@
 	return p
 }
 
-// BenchmarkPositions reads the reports of a second after 300 plans, with no
-// node or a tenth of them still at the first.
-func BenchmarkPositions(b *testing.B) {
+// BenchmarkLagTracker measures one update after 300 plans, with none or a tenth of
+// the nodes still at the first plan.
+func BenchmarkLagTracker(b *testing.B) {
 	for _, nodes := range []int{10, 550} {
 		for _, lagging := range []int{0, nodes / 10} {
 			b.Run(fmt.Sprintf("nodes=%d/lagging=%d", nodes, lagging), func(b *testing.B) {
@@ -46,7 +46,7 @@
 }
 
 func benchPositions(b *testing.B, nodes, lagging int) {
-	p := newPositions()
+	tracker := newLagTracker()
 	s := &decider.PlannerInput{
 		Account: &model.Account{
 			Services: []model.Service{{Name: "desk"}},
@@ -61,20 +61,20 @@
 		r.Flows = []observe.FlowDemand{{Service: "desk", Caller: model.RegionName(fmt.Sprint("region-", n%benchFlows)), OfferedRPS: 100}}
 		s.Reports = append(s.Reports, decider.NodeReport{Report: r, Age: time.Second})
 	}
-	second := func() {
+	update := func() {
 		s.Now = s.Now.Add(time.Second)
 		for n := lagging; n < nodes; n++ {
 			s.Reports[n].Report.PlanSequence = s.Previous.Sequence
 		}
-		p.read(s)
+		tracker.update(s)
 	}
 	for sequence := range uint64(300) {
 		s.Previous = benchPlan(sequence + 1)
-		second()
+		update()
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		second()
+		update()
 	}
 }
--- a/steering/planner/planner.go
+++ b/steering/planner/planner.go
@@ -1,4 +1,5 @@
-// Package planner lets the decider of an account plan by Decide.
+// Package planner implements the decider's planner: it collects the measurements
+// of each account and calls steering.Decide.
 package planner
 
 import (
@@ -13,41 +14,42 @@
 )
 
 const (
-	// settling is how long a new decider waits for the reports of all nodes
-	// before it takes their sum for the demand.
-	settling = 5 * time.Second
-	// forgetting is how long the measurements of an account are kept that
-	// nobody reads.
-	forgetting = 5 * time.Minute
+	// reportGracePeriod is how long a new decider waits for the reports of all
+	// nodes before it uses their sum as the demand.
+	reportGracePeriod = 5 * time.Second
+	// accountRetention is how long the state of an account is kept after its
+	// last plan.
+	accountRetention = 5 * time.Minute
 )
 
 // Planner implements decider.Planner for any number of accounts. It is safe
 // for use by several goroutines.
 type Planner struct {
 	mu       sync.Mutex
-	accounts map[model.AccountName]*account
+	accounts map[model.AccountName]*accountState
 }
 
-// account is what is kept of one account, and when it was last read.
-type account struct {
+// accountState holds the measurements of one account.
+type accountState struct {
 	mu         sync.Mutex
 	aggregator *aggregate.Aggregator
-	positions  *positions
-	read       time.Time
-	// last is what the last plan was made from.
-	last steering.Input
+	lagTracker *lagTracker
+	lastUsed   time.Time
+	// lastInput is the input of the last plan, zero if its demand was unknown.
+	lastInput steering.Input
 }
 
 var _ decider.Planner = (*Planner)(nil)
 
-// New returns a planner that has seen no account yet.
+// New returns a planner without any account state.
 func New() *Planner {
-	return &Planner{accounts: make(map[model.AccountName]*account)}
+	return &Planner{accounts: make(map[model.AccountName]*accountState)}
 }
 
-// Plan implements decider.Planner. The Explanation is a steering.Decision.
+// Plan implements decider.Planner. The Explanation of the output is a
+// steering.Decision.
 func (p *Planner) Plan(s decider.PlannerInput) decider.PlannerOutput {
-	in := p.input(&s)
+	in := p.buildInput(&s)
 	d := steering.Decide(in)
 	return decider.PlannerOutput{
 		Flows:       d.Plan.Flows,
@@ -56,7 +58,7 @@
 	}
 }
 
-func (p *Planner) input(s *decider.PlannerInput) steering.Input {
+func (p *Planner) buildInput(s *decider.PlannerInput) steering.Input {
 	in := steering.Input{
 		Account:  s.Account,
 		Now:      s.Now,
@@ -71,23 +73,22 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	in.Demand, in.Places = a.aggregator.Update(s.Account, reports, in.Moved, s.Now)
-	in.Behind = a.positions.read(s)
-	if s.Now.Sub(s.TermStart) < settling {
-		// The first reports after a change of decider are a part of the
-		// demand only. Taken for all of it, they would make full places look
-		// empty; unknown demand moves nothing.
+	in.Behind = a.lagTracker.update(s)
+	if s.Now.Sub(s.TermStart) < reportGracePeriod {
+		// Not all nodes have reported to the new decider yet, and a partial sum
+		// would make full places look empty. Unknown demand moves nothing.
 		in.Demand = nil
 	}
-	a.last = in
+	a.lastInput = in
 	if len(in.Demand) == 0 {
-		// A forecast from it would say that every capacity holds.
-		a.last = steering.Input{}
+		// A forecast without demand would report that every capacity suffices.
+		a.lastInput = steering.Input{}
 	}
 	return in
 }
 
-// LastInput returns what the last plan of an account was made from, for forecasts;
-// ok is false when this node has made none lately, or knew no demand for it.
+// LastInput returns the input of the last plan of an account, for forecasts. ok
+// is false if this node has no recent plan or its demand was unknown.
 func (p *Planner) LastInput(name model.AccountName) (in steering.Input, ok bool) {
 	p.mu.Lock()
 	a := p.accounts[name]
@@ -97,25 +98,25 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last, a.last.Account != nil
+	return a.lastInput, a.lastInput.Account != nil
 }
 
-// account returns what is kept of an account. What was not read for long is of
-// an earlier term and begun anew.
-func (p *Planner) account(name model.AccountName, now time.Time) *account {
+// account returns the state of an account and drops expired state, which belongs
+// to an earlier term.
+func (p *Planner) account(name model.AccountName, now time.Time) *accountState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for other, a := range p.accounts {
-		if now.Sub(a.read) > forgetting {
+		if now.Sub(a.lastUsed) > accountRetention {
 			delete(p.accounts, other)
 		}
 	}
 	a := p.accounts[name]
 	if a == nil {
-		a = &account{aggregator: aggregate.New(), positions: newPositions()}
+		a = &accountState{aggregator: aggregate.New(), lagTracker: newLagTracker()}
 		p.accounts[name] = a
 	}
-	a.read = now
+	a.lastUsed = now
 	return a
 }
 
