--- a/steering/aggregate/aggregator.go
+++ b/steering/aggregate/aggregator.go
@@ -1,6 +1,6 @@
-// Package aggregate turns the reports of all nodes into what Decide needs: the
-// demand of each flow and the state of each service in each place, each with
-// an age. It keeps smoothed rates and what each place's latency was when warm.
+// Package aggregate combines the reports of all nodes into the input of Decide:
+// the demand of each flow and the state of each service in each place, with their
+// ages. It keeps smoothed rates and the latency of each place with warm caches.
 package aggregate
 
 import (
@@ -14,19 +14,20 @@
 )
 
 const (
-	// smoothing is the time over which rates are averaged: a rate over one
-	// report interval moves by chance.
-	smoothing = 4 * time.Second
-	// trend is the time over which the rate is averaged that growth is told by.
-	trend = 20 * time.Second
-	// leastGrowth is the growth that chance alone may show.
-	leastGrowth = 0.05
-	// mostGrowth bounds what a step of the demand adds.
-	mostGrowth = 0.5
-	// warming is the time over which the warm latency is averaged.
-	warming = 60 * time.Second
-	// quiet is how long after an increase a latency counts as warm.
-	quiet = 30 * time.Second
+	// smoothingTime is the time constant of the averages of rates and latencies,
+	// which are noisy over one report interval.
+	smoothingTime = 4 * time.Second
+	// trendTime is the time constant of the slow average that growth is measured
+	// against.
+	trendTime = 20 * time.Second
+	// noiseGrowth is the apparent growth that is attributed to noise.
+	noiseGrowth = 0.05
+	// maxGrowth bounds the margin after a sudden rise of demand.
+	maxGrowth = 0.5
+	// warmSmoothingTime is the time constant of the average warm latency.
+	warmSmoothingTime = 60 * time.Second
+	// warmUpTime is how long caches count as cold after an increase.
+	warmUpTime = 30 * time.Second
 )
 
 // Report is the last report of one node and its age.
@@ -35,15 +36,15 @@
 	Age time.Duration
 }
 
-// Aggregator keeps the averages of one account. It is not safe for use by
-// several goroutines.
+// Aggregator holds the averages of one account. It is not safe for concurrent use.
 type Aggregator struct {
-	read  time.Time
-	flows map[flowKey]*rate
-	cells map[cellKey]*cellRate
-	warm  map[cellKey]time.Duration
-	// steady is the part of the targets of each place that is relied on.
-	steady map[cellKey]*steadyPart
+	lastUpdate time.Time
+	flows      map[flowKey]*flowRate
+	cellRates  map[cellKey]*cellRate
+	warmP99    map[cellKey]time.Duration
+	// steadyFractions holds the fraction of each place's targets that counts as
+	// stable.
+	steadyFractions map[cellKey]*steadyFraction
 }
 
 type flowKey struct {
@@ -56,57 +57,56 @@
 	place   model.PlaceName
 }
 
-// New returns an aggregator that has read nothing yet.
+// New returns an aggregator without any measurements.
 func New() *Aggregator {
 	return &Aggregator{
-		flows:  make(map[flowKey]*rate),
-		cells:  make(map[cellKey]*cellRate),
-		warm:   make(map[cellKey]time.Duration),
-		steady: make(map[cellKey]*steadyPart),
+		flows:           make(map[flowKey]*flowRate),
+		cellRates:       make(map[cellKey]*cellRate),
+		warmP99:         make(map[cellKey]time.Duration),
+		steadyFractions: make(map[cellKey]*steadyFraction),
 	}
 }
 
-// Update takes in the last reports of all nodes and the moves made lately, and
-// returns the demand and the state of the places at now, sorted.
+// Update adds the last reports of all nodes to the averages and returns the demand
+// and the state of the places at now, sorted. moved holds the recent moves.
 func (a *Aggregator) Update(account *model.Account, reports []Report, moved []steering.Move, now time.Time) ([]steering.Demand, []steering.PlaceState) {
-	since := now.Sub(a.read)
-	if a.read.IsZero() {
+	since := now.Sub(a.lastUpdate)
+	if a.lastUpdate.IsZero() {
 		since = math.MaxInt64
 	}
-	a.read = now
+	a.lastUpdate = now
 	demand := a.demand(account, reports, since)
-	places := a.places(account, reports, moved, since)
+	places := a.placeStates(account, reports, moved, since)
 	return demand, places
 }
 
-// demand sums the rates over the nodes. A node that is silent counts with its
-// last report, because its callers are still there; the age is the mean over
-// the sum. A flow that a report leaves out had no request: what is missing is
-// a report, not its zeros. Taken for unknown, a flow with few requests would
-// count as a large part of the capacity in every quiet second.
+// demand sums the rates over the nodes. A silent node counts with its last report,
+// since its callers are still there. The age is the mean weighted by rate. A flow
+// that a report leaves out had no requests, which is not the same as unknown
+// demand: that counts as a large part of the capacity.
 func (a *Aggregator) demand(account *model.Account, reports []Report, since time.Duration) []steering.Demand {
 	if len(reports) == 0 {
 		return nil
 	}
-	sums := emptySums(account)
+	sums := newFlowSums(account)
 	for i := range reports {
 		for _, f := range reports[i].Flows {
-			if valid(f.OfferedRPS) {
+			if validRate(f.OfferedRPS) {
 				sums.add(flowKey{f.Service, f.Caller}, f.OfferedRPS, reports[i].Age)
 			}
 		}
 	}
-	quiet := meanAge(reports)
+	idleAge := meanAge(reports)
 	demand := make([]steering.Demand, 0, len(sums))
 	for key, sum := range sums {
-		d := steering.Demand{Service: key.service, Caller: key.caller, Age: quiet}
+		d := steering.Demand{Service: key.service, Caller: key.caller, Age: idleAge}
 		if sum.rps > 0 {
 			d.Age = time.Duration(sum.age.value())
 		}
-		d.RPS, d.Margin = a.rateOf(key).add(sum.rps, since)
+		d.RPS, d.Margin = a.flowRateOf(key).add(sum.rps, since)
 		demand = append(demand, d)
 	}
-	a.forgetFlows(sums)
+	a.dropUnknownFlows(sums)
 	sort.Slice(demand, func(i, j int) bool {
 		if demand[i].Service != demand[j].Service {
 			return demand[i].Service < demand[j].Service
@@ -116,7 +116,7 @@
 	return demand
 }
 
-// flowSums holds what the nodes report of each flow.
+// flowSums holds the sums of each flow over the nodes.
 type flowSums map[flowKey]*flowSum
 
 type flowSum struct {
@@ -124,7 +124,7 @@
 	age mean
 }
 
-func emptySums(account *model.Account) flowSums {
+func newFlowSums(account *model.Account) flowSums {
 	sums := make(flowSums)
 	for i := range account.Services {
 		for j := range account.Regions {
@@ -152,7 +152,7 @@
 	return time.Duration(m.value())
 }
 
-func (a *Aggregator) forgetFlows(known flowSums) {
+func (a *Aggregator) dropUnknownFlows(known flowSums) {
 	for key := range a.flows {
 		if known[key] == nil {
 			delete(a.flows, key)
@@ -160,19 +160,20 @@
 	}
 }
 
-func (a *Aggregator) rateOf(key flowKey) *rate {
+func (a *Aggregator) flowRateOf(key flowKey) *flowRate {
 	if a.flows[key] == nil {
-		a.flows[key] = &rate{}
+		a.flows[key] = &flowRate{}
 	}
 	return a.flows[key]
 }
 
-// weightOf is the part a new value has in an average over a time.
-func weightOf(since, over time.Duration) float64 {
-	return 1 - math.Exp(-float64(since)/float64(over))
+// smoothingWeight returns the weight of a new value in an exponential average.
+func smoothingWeight(elapsed, timeConstant time.Duration) float64 {
+	return 1 - math.Exp(-float64(elapsed)/float64(timeConstant))
 }
 
-// valid refuses what is no rate: it would spoil every later average.
-func valid(rps float64) bool {
+// validRate rejects NaN, infinite and negative rates, which would corrupt the
+// averages.
+func validRate(rps float64) bool {
 	return rps >= 0 && !math.IsInf(rps, 1)
 }
--- a/steering/aggregate/aggregator_test.go
+++ b/steering/aggregate/aggregator_test.go
@@ -25,9 +25,8 @@
 	}}
 }
 
-// A node falls silent. Its callers are still there: its last rate stays in the
-// sum, the sum's age grows with its part, and what it said of targets long ago
-// no longer counts.
+// The last rate of a silent node stays in the demand and raises its age; its old
+// target counts are ignored.
 func TestSilentNodeKeepsItsDemand(t *testing.T) {
 	reports := []Report{
 		reportOf(0, 300, observe.PlaceLoad{SentRPS: 300, Targets: 4, Known: 4}),
@@ -42,21 +41,18 @@
 	}
 }
 
-// One node's link to a place is down: it sees all targets gone. The place must
-// not count as failed for the others.
-func TestOneNodeWeighsItsPart(t *testing.T) {
-	well := observe.PlaceLoad{SentRPS: 90, Targets: 4, Known: 4, P99: 20 * time.Millisecond}
-	cut := observe.PlaceLoad{SentRPS: 10, Targets: 0, Known: 4, FailureShare: 1}
-	_, places := New().Update(account, []Report{reportOf(0, 1, well), reportOf(0, 1, well), reportOf(0, 1, well), reportOf(0, 1, cut)}, nil, start)
+// A place must not count as failed because one node cannot reach its targets.
+func TestUnreachablePlaceForOneNode(t *testing.T) {
+	healthy := observe.PlaceLoad{SentRPS: 90, Targets: 4, Known: 4, P99: 20 * time.Millisecond}
+	unreachable := observe.PlaceLoad{SentRPS: 10, Targets: 0, Known: 4, FailureShare: 1}
+	_, places := New().Update(account, []Report{reportOf(0, 1, healthy), reportOf(0, 1, healthy), reportOf(0, 1, healthy), reportOf(0, 1, unreachable)}, nil, start)
 	if p := places[0]; p.Usable != 12 || p.Known != 16 || p.FailureShare > 0.04 || p.P99 != 20*time.Millisecond {
 		t.Fatalf("place %+v", p)
 	}
 }
 
-// A failure domain is lost with its entry VM. The VM list shows it to the other
-// nodes, the lost node's last report still lists all targets. Counted by what
-// is listed, the place reads as whole until that report is too old, and callers
-// are refused for half a minute before any work moves.
+// The last report of a node lost with its failure domain still lists all targets
+// there. It must not keep the place healthy until the report is stale.
 func TestLostNodeDoesNotKeepItsPlace(t *testing.T) {
 	lost := reportOf(10*time.Second, 1, observe.PlaceLoad{SentRPS: 90, Targets: 4, Known: 4})
 	other := reportOf(0, 1, observe.PlaceLoad{})
@@ -70,27 +66,27 @@
 	}
 }
 
-// The latency right after an increase is that of cold caches. Taken for the
-// warm one, it would hide that the place is slow.
-func TestWarmLatencyLeavesOutIncreases(t *testing.T) {
-	b := New()
+// Latency with cold caches after an increase must not enter the warm latency, which
+// would hide that the place is slow.
+func TestWarmLatencyExcludesIncreases(t *testing.T) {
+	a := New()
 	load := observe.PlaceLoad{SentRPS: 100, Targets: 4, Known: 4, P99: 20 * time.Millisecond}
-	b.Update(account, []Report{reportOf(0, 100, load)}, nil, start)
+	a.Update(account, []Report{reportOf(0, 100, load)}, nil, start)
 	load.P99 = 90 * time.Millisecond
-	rise := []steering.Move{{Service: "desk", Caller: "seoul", Place: "a", Delta: 1000, Age: 5 * time.Second}}
-	_, places := b.Update(account, []Report{reportOf(0, 100, load)}, rise, start.Add(10*time.Second))
+	increases := []steering.Move{{Service: "desk", Caller: "seoul", Place: "a", Delta: 1000, Age: 5 * time.Second}}
+	_, places := a.Update(account, []Report{reportOf(0, 100, load)}, increases, start.Add(10*time.Second))
 	if places[0].WarmP99 != 20*time.Millisecond || places[0].P99 < 80*time.Millisecond {
 		t.Fatalf("place %+v", places[0])
 	}
-	rise[0].Age = time.Hour
-	_, places = b.Update(account, []Report{reportOf(0, 100, load)}, rise, start.Add(10*time.Minute))
+	increases[0].Age = time.Hour
+	_, places = a.Update(account, []Report{reportOf(0, 100, load)}, increases, start.Add(10*time.Minute))
 	if places[0].WarmP99 < 85*time.Millisecond {
-		t.Fatalf("a place that stays slow keeps the old measure: %+v", places[0])
+		t.Fatalf("warm latency of a permanently slow place did not adapt: %+v", places[0])
 	}
 }
 
-// A rate that is no number must not spoil the sum for ever.
-func TestInvalidRatesAreLeftOut(t *testing.T) {
+// NaN and negative rates must not corrupt the averages.
+func TestInvalidRatesAreIgnored(t *testing.T) {
 	nan := 0.0
 	nan /= nan
 	demand, _ := New().Update(account, []Report{reportOf(0, 100, observe.PlaceLoad{SentRPS: nan}), reportOf(0, nan, observe.PlaceLoad{SentRPS: -1})}, nil, start)
@@ -99,48 +95,46 @@
 	}
 }
 
-// The targets of a place go and come every 20 s. Work that the cap could not
-// take away in one failure must not wait there for the next one: the place
-// counts as failed until its targets have stayed for half a minute.
-func TestComingTargetsAreBelievedLate(t *testing.T) {
-	b := New()
+// A place with flapping targets counts as failed until its targets have been
+// usable for steadyAfter.
+func TestReturningTargetsCountAfterDelay(t *testing.T) {
+	a := New()
 	usable := func(second, targets int) int {
 		load := observe.PlaceLoad{SentRPS: 100, Targets: targets, Known: 4}
-		_, places := b.Update(account, []Report{reportOf(0, 100, load)}, nil, start.Add(time.Duration(second)*time.Second))
+		_, places := a.Update(account, []Report{reportOf(0, 100, load)}, nil, start.Add(time.Duration(second)*time.Second))
 		return places[0].Usable - places[0].Unsteady
 	}
 	if usable(0, 4) != 4 {
-		t.Fatal("the first reading does not count")
+		t.Fatal("initial targets do not count as stable")
 	}
 	for second := 40; second < 200; second++ {
 		targets := 4 * (second / 20 % 2)
 		if got := usable(second, targets); got != 0 {
-			t.Fatalf("second %d: %d targets relied on", second, got)
+			t.Fatalf("second %d: %d stable targets", second, got)
 		}
 	}
 	usable(205, 3)
 	if usable(208, 4) != 0 || usable(209, 4) != 3 {
-		t.Fatal("targets that stayed half a minute are not relied on")
+		t.Fatal("targets usable for 30 s do not count as stable")
 	}
 }
 
-// At dawn demand grows by the second, and a plan for what was measured is late
-// by a report, a decision and a step. The margin covers that time; noise and
-// a demand that falls have none.
-func TestGrowthWidensTheDemand(t *testing.T) {
-	var r rate
+// Growing demand gets a margin for the delay until a plan takes effect; noise and
+// falling demand get none.
+func TestGrowthAddsDemandMargin(t *testing.T) {
+	var r flowRate
 	smooth, growth := 0.0, 0.0
 	for second := range 100 {
 		smooth, growth = r.add(500+10*float64(second), time.Second)
 	}
 	if ahead := smooth * (1 + growth); ahead < 1490 || ahead > 1600 {
-		t.Fatalf("expects %.0f requests/s, was 1490 and grows by 10 a second", ahead)
+		t.Fatalf("expected demand %.0f requests/s, want 1490 to 1600", ahead)
 	}
 	for second := range 300 {
 		noise := float64((second*7)%11-5) / 5 * 0.1
 		_, growth = r.add(1000*(1+noise), time.Second)
 		if second > 100 && growth > 0 {
-			t.Fatalf("noise of a tenth has a margin of %.3f", growth)
+			t.Fatalf("10 %% noise has a margin of %.3f", growth)
 		}
 	}
 	if _, growth = r.add(10, time.Second); growth != 0 {
@@ -148,50 +142,48 @@
 	}
 }
 
-// A service has one request in ten seconds. In the quiet ones no node names
-// it, and that is no unknown demand: unknown counts as a large part of the
-// capacity, and would draw room from the others each time.
-func TestQuietFlowIsKnownToBeQuiet(t *testing.T) {
+// A flow without requests has a known demand of 0. Unknown demand would reserve
+// capacity that other flows need.
+func TestIdleFlowHasZeroDemand(t *testing.T) {
 	reports := []Report{{Age: 2 * time.Second}, {Age: 4 * time.Second}}
 	demand, _ := New().Update(account, reports, nil, start)
 	if len(demand) != 1 || demand[0].RPS != 0 || demand[0].Age != 3*time.Second {
 		t.Fatalf("demand %+v", demand)
 	}
 	if demand, _ = New().Update(account, nil, nil, start); len(demand) != 0 {
-		t.Fatalf("demand without any report: %+v", demand)
+		t.Fatalf("demand without reports: %+v", demand)
 	}
 }
 
-// One of three requests in a quiet hour fails, or a second goes wrong. Neither
-// makes a place look bad; failures that last do within three seconds.
-func TestFewFailuresTellLittle(t *testing.T) {
-	b := New()
+// A single failure among few requests, or one second of failures, must not mark a
+// place as failing; lasting failures must within three seconds.
+func TestBriefFailuresAreSmoothed(t *testing.T) {
+	a := New()
 	second := 0
 	share := func(sent, failed float64) float64 {
 		second++
 		load := observe.PlaceLoad{SentRPS: sent, FailureShare: failed, Targets: 4, Known: 4}
-		_, places := b.Update(account, []Report{reportOf(0, sent, load)}, nil, start.Add(time.Duration(second)*time.Second))
+		_, places := a.Update(account, []Report{reportOf(0, sent, load)}, nil, start.Add(time.Duration(second)*time.Second))
 		return places[0].FailureShare
 	}
 	if got := share(3, 0.34); got > 0.19 {
-		t.Fatalf("one of three requests reads %.2f", got)
+		t.Fatalf("failure share %.2f after one failure in three requests", got)
 	}
 	for range 60 {
 		share(100, 0)
 	}
 	if got := share(100, 0.8); got > 0.19 {
-		t.Fatalf("a second of failures reads %.2f", got)
+		t.Fatalf("failure share %.2f after one second of failures", got)
 	}
 	share(100, 1)
 	if got := share(100, 1); got < 0.45 {
-		t.Fatalf("three seconds of failures read %.2f", got)
+		t.Fatalf("failure share %.2f after three seconds of failures", got)
 	}
 }
 
-// Story: an operator moves a service from place to place all year, and the
-// decider stays the same. What was averaged for places that the service has
-// left would stay in memory for ever. A place that only falls silent is kept.
-func TestForgetsPlacesThatAreGone(t *testing.T) {
+// Averages of places that a service has left must not accumulate in a long-running
+// decider. A configured place without reports is kept.
+func TestDropsRemovedPlaces(t *testing.T) {
 	a := New()
 	var configured *model.Account
 	for i := range 100 {
@@ -204,7 +196,7 @@
 		a.Update(configured, []Report{r}, nil, start.Add(time.Duration(i)*time.Minute))
 	}
 	a.Update(configured, nil, nil, start.Add(101*time.Minute))
-	if len(a.cells) != 1 || len(a.warm) != 1 || len(a.steady) != 1 {
-		t.Errorf("kept %d rates, %d warm latencies, %d steady parts of one place", len(a.cells), len(a.warm), len(a.steady))
+	if len(a.cellRates) != 1 || len(a.warmP99) != 1 || len(a.steadyFractions) != 1 {
+		t.Errorf("kept %d rates, %d warm latencies, %d stable fractions, want 1 each", len(a.cellRates), len(a.warmP99), len(a.steadyFractions))
 	}
 }
--- a/steering/aggregate/cellrate.go
+++ b/steering/aggregate/cellrate.go
@@ -6,21 +6,21 @@
 	"github.com/yuccaroute/yuccaroute/steering"
 )
 
-// fewRequests is the number of requests that are taken to have succeeded
-// besides those seen: one failure among three requests tells little of a place.
-const fewRequests = 10
+// priorSuccesses is the number of successful requests added to the measured ones,
+// so that few requests do not give a high failure share.
+const priorSuccesses = 10
 
-// cellRate is what is sent to one service in one place, averaged over time: a
-// report covers about a second, in which chance alone may fail or delay many.
+// cellRate holds the smoothed rates and latencies of one service in one place. A
+// report covers about a second, which is too short for stable values.
 type cellRate struct {
 	known        bool
 	sent, failed float64
 	p50, p99     float64
 }
 
-// smooth takes in a state and replaces its rates and latencies.
+// smooth adds a state to the averages and replaces its values by them.
 func (r *cellRate) smooth(state *steering.PlaceState, since time.Duration) {
-	weight := weightOf(since, smoothing)
+	weight := smoothingWeight(since, smoothingTime)
 	if !r.known {
 		weight = 1
 	}
@@ -28,13 +28,13 @@
 	r.sent += (state.SentRPS - r.sent) * weight
 	r.failed += (state.SentRPS*state.FailureShare - r.failed) * weight
 	state.SentRPS = r.sent
-	state.FailureShare = r.failed / (r.sent + fewRequests/smoothing.Seconds())
-	state.P50 = follow(&r.p50, state.P50, weight)
-	state.P99 = follow(&r.p99, state.P99, weight)
+	state.FailureShare = r.failed / (r.sent + priorSuccesses/smoothingTime.Seconds())
+	state.P50 = smoothLatency(&r.p50, state.P50, weight)
+	state.P99 = smoothLatency(&r.p99, state.P99, weight)
 }
 
-// follow moves an average towards a latency; 0 is none.
-func follow(average *float64, latency time.Duration, weight float64) time.Duration {
+// smoothLatency adds a latency to an average; 0 means no measurement.
+func smoothLatency(average *float64, latency time.Duration, weight float64) time.Duration {
 	if latency <= 0 {
 		return time.Duration(*average)
 	}
--- a/steering/aggregate/mean.go
+++ b/steering/aggregate/mean.go
@@ -1,15 +1,15 @@
 package aggregate
 
-// mean is a weighted mean. Without any weight it is the plain one.
+// mean is a weighted mean, or the unweighted one if all weights are 0.
 type mean struct {
-	sum, weight  float64
-	plain, count float64
+	sum, weight       float64
+	unweighted, count float64
 }
 
 func (m *mean) add(value, weight float64) {
 	m.sum += value * weight
 	m.weight += weight
-	m.plain += value
+	m.unweighted += value
 	m.count++
 }
 
@@ -18,7 +18,7 @@
 		return m.sum / m.weight
 	}
 	if m.count > 0 {
-		return m.plain / m.count
+		return m.unweighted / m.count
 	}
 	return 0
 }
--- a/steering/aggregate/places.go
+++ b/steering/aggregate/places.go
@@ -8,38 +8,37 @@
 	"github.com/yuccaroute/yuccaroute/steering"
 )
 
-// rounding covers the error of a product of a part and a count.
+// rounding compensates the floating-point error of a fraction times a count.
 const rounding = 1e-9
 
-// sums is what the nodes measured of one service in one place.
-type sums struct {
+// cellSums holds the sums over the nodes for one service in one place.
+type cellSums struct {
 	sent          float64
 	usable, known int
-	// without counts the reports that list no target, most is the most targets
-	// that one report lists.
-	without, most int
-	p50, p99      mean
-	failures, age mean
+	// reportsWithoutTargets counts the reports that list no target, maxKnown is the
+	// largest number of targets in one report.
+	reportsWithoutTargets, maxKnown int
+	p50, p99                        mean
+	failures, age                   mean
 }
 
-// places sums the measurements of the nodes. Targets are summed over the
-// nodes as well: one node that sees all of them gone, or all of them well,
-// weighs no more than its part.
-func (a *Aggregator) places(account *model.Account, reports []Report, moved []steering.Move, since time.Duration) []steering.PlaceState {
-	cells := make(map[cellKey]*sums)
-	for _, r := range current(reports) {
+// placeStates sums the measurements of the nodes. Targets are summed as well, so
+// that one node that sees all of them down, or up, does not outweigh the others.
+func (a *Aggregator) placeStates(account *model.Account, reports []Report, moved []steering.Move, since time.Duration) []steering.PlaceState {
+	cells := make(map[cellKey]*cellSums)
+	for _, r := range freshReports(reports) {
 		addReport(cells, &r)
 	}
-	risen := lastRises(moved)
+	increases := lastIncreases(moved)
 	states := make([]steering.PlaceState, 0, len(cells))
 	for key, c := range cells {
 		state := c.state(key)
-		a.cellOf(key).smooth(&state, since)
+		a.cellRateOf(key).smooth(&state, since)
 		state.Unsteady = state.Usable - a.steadyTargets(key, &state)
-		state.WarmP99 = a.warmOf(key, &state, risen, since)
+		state.WarmP99 = a.warmLatency(key, &state, increases, since)
 		states = append(states, state)
 	}
-	a.forgetCells(account, cells)
+	a.dropUnknownCells(account, cells)
 	sort.Slice(states, func(i, j int) bool {
 		if states[i].Service != states[j].Service {
 			return states[i].Service < states[j].Service
@@ -49,11 +48,10 @@
 	return states
 }
 
-// forgetCells drops what was averaged for cells that the account does not
-// configure and no report names. Without it a decider that stays for long
-// would keep every place that a service ever had. A configured place whose
-// reports stop is kept: its warm latency is needed when they return.
-func (a *Aggregator) forgetCells(account *model.Account, reported map[cellKey]*sums) {
+// dropUnknownCells drops the averages of cells that are neither configured nor
+// reported, which would otherwise accumulate. A configured place without reports
+// is kept, since its warm latency is needed when they resume.
+func (a *Aggregator) dropUnknownCells(account *model.Account, reported map[cellKey]*cellSums) {
 	configured := make(map[cellKey]bool)
 	for i := range account.Services {
 		service := &account.Services[i]
@@ -61,18 +59,18 @@
 			configured[cellKey{service.Name, c.Place}] = true
 		}
 	}
-	for key := range a.cells {
+	for key := range a.cellRates {
 		if !configured[key] && reported[key] == nil {
-			delete(a.cells, key)
-			delete(a.warm, key)
-			delete(a.steady, key)
+			delete(a.cellRates, key)
+			delete(a.warmP99, key)
+			delete(a.steadyFractions, key)
 		}
 	}
 }
 
-// current leaves out reports too old to tell of a place, unless there are no
-// others: then their age tells that the state is stale.
-func current(reports []Report) []Report {
+// freshReports returns the reports that are recent enough for the state of a place.
+// If there are none it returns all, and their age marks the state as stale.
+func freshReports(reports []Report) []Report {
 	var fresh []Report
 	for i := range reports {
 		if reports[i].Age < steering.FreezeAge {
@@ -85,24 +83,24 @@
 	return fresh
 }
 
-func addReport(cells map[cellKey]*sums, r *Report) {
+func addReport(cells map[cellKey]*cellSums, r *Report) {
 	for i := range r.Places {
 		p := &r.Places[i]
-		if !valid(p.SentRPS) {
+		if !validRate(p.SentRPS) {
 			continue
 		}
 		key := cellKey{p.Service, p.Place}
 		c := cells[key]
 		if c == nil {
-			c = &sums{}
+			c = &cellSums{}
 			cells[key] = c
 		}
 		c.sent += p.SentRPS
 		c.usable += min(max(p.Targets, 0), max(p.Known, 0))
 		c.known += max(p.Known, 0)
-		c.most = max(c.most, p.Known)
+		c.maxKnown = max(c.maxKnown, p.Known)
 		if p.Known <= 0 {
-			c.without++
+			c.reportsWithoutTargets++
 		}
 		c.age.add(float64(r.Age), 1)
 		c.failures.add(min(max(p.FailureShare, 0), 1), p.SentRPS)
@@ -115,11 +113,10 @@
 	}
 }
 
-// state joins the sums. A node that lists no target counts as one that sees
-// all of them gone: the last report of a node that was lost with its failure
-// domain still lists them, and would alone keep the place looking whole until
-// it is too old to count.
-func (c *sums) state(key cellKey) steering.PlaceState {
+// state returns the state of the place. A node that lists no target counts as one
+// that sees all targets down. Otherwise the last report of a node that was lost
+// with its failure domain would alone keep the place healthy until it is stale.
+func (c *cellSums) state(key cellKey) steering.PlaceState {
 	return steering.PlaceState{
 		Service:      key.service,
 		Place:        key.place,
@@ -128,58 +125,58 @@
 		FailureShare: c.failures.value(),
 		SentRPS:      c.sent,
 		Usable:       c.usable,
-		Known:        c.known + c.without*c.most,
+		Known:        c.known + c.reportsWithoutTargets*c.maxKnown,
 		Empty:        c.known == 0,
 		Age:          time.Duration(c.age.value()),
 	}
 }
 
-func (a *Aggregator) cellOf(key cellKey) *cellRate {
-	if a.cells[key] == nil {
-		a.cells[key] = &cellRate{}
+func (a *Aggregator) cellRateOf(key cellKey) *cellRate {
+	if a.cellRates[key] == nil {
+		a.cellRates[key] = &cellRate{}
 	}
-	return a.cells[key]
+	return a.cellRates[key]
 }
 
-// steadyTargets returns the number of usable targets that is relied on.
+// steadyTargets returns the number of usable targets that count as stable.
 func (a *Aggregator) steadyTargets(key cellKey, state *steering.PlaceState) int {
 	if state.Known == 0 {
 		return 0
 	}
-	part := float64(state.Usable) / float64(state.Known)
-	if a.steady[key] == nil {
-		a.steady[key] = newSteadyPart(part, a.read)
+	fraction := float64(state.Usable) / float64(state.Known)
+	if a.steadyFractions[key] == nil {
+		a.steadyFractions[key] = newSteadyFraction(fraction, a.lastUpdate)
 	}
-	return int(a.steady[key].update(part, a.read)*float64(state.Known) + rounding)
+	return int(a.steadyFractions[key].update(fraction, a.lastUpdate)*float64(state.Known) + rounding)
 }
 
-// lastRises returns for each cell the age of its newest increase.
-func lastRises(moved []steering.Move) map[cellKey]time.Duration {
-	risen := make(map[cellKey]time.Duration)
+// lastIncreases returns the age of the newest increase of each cell.
+func lastIncreases(moved []steering.Move) map[cellKey]time.Duration {
+	ages := make(map[cellKey]time.Duration)
 	for i := range moved {
 		m := &moved[i]
 		key := cellKey{m.Service, m.Place}
-		if age, ok := risen[key]; m.Delta > 0 && (!ok || m.Age < age) {
-			risen[key] = m.Age
+		if age, ok := ages[key]; m.Delta > 0 && (!ok || m.Age < age) {
+			ages[key] = m.Age
 		}
 	}
-	return risen
+	return ages
 }
 
-// warmOf keeps the latency a place has when it took no more for a while. A
-// place that stays slow for other reasons becomes its own measure with time,
-// so that it is not held for ever.
-func (a *Aggregator) warmOf(key cellKey, state *steering.PlaceState, risen map[cellKey]time.Duration, since time.Duration) time.Duration {
-	age, rose := risen[key]
-	if state.P99 <= 0 || state.Age >= steering.FreezeAge || (rose && age < quiet) {
-		return a.warm[key]
+// warmLatency returns the average latency of a place outside of warm-up after an
+// increase. It also follows a place that becomes permanently slow, so that the
+// place can take more traffic again.
+func (a *Aggregator) warmLatency(key cellKey, state *steering.PlaceState, increases map[cellKey]time.Duration, since time.Duration) time.Duration {
+	age, increased := increases[key]
+	if state.P99 <= 0 || state.Age >= steering.FreezeAge || (increased && age < warmUpTime) {
+		return a.warmP99[key]
 	}
-	old, ok := a.warm[key]
+	old, ok := a.warmP99[key]
 	if !ok {
-		a.warm[key] = state.P99
+		a.warmP99[key] = state.P99
 		return state.P99
 	}
-	weight := weightOf(since, warming)
-	a.warm[key] = old + time.Duration(weight*float64(state.P99-old))
-	return a.warm[key]
+	weight := smoothingWeight(since, warmSmoothingTime)
+	a.warmP99[key] = old + time.Duration(weight*float64(state.P99-old))
+	return a.warmP99[key]
 }
--- a/steering/aggregate/rate.go
+++ b/steering/aggregate/rate.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// rate is the demand of one flow over time.
-type rate struct {
+// flowRate holds a fast and a slow moving average of the demand of one flow.
+type flowRate struct {
 	known      bool
 	fast, slow float64
 }
 
-// add takes in a rate and returns the smoothed one and the part by which it
-// may have grown until a decision on it has taken effect. A demand that rises
-// evenly is ahead of its averages by the time each is taken over, so that
-// their distance is what it grows by in the difference of these times, which
-// is about what a report, a decision and a step take.
-func (r *rate) add(rps float64, since time.Duration) (smooth, growth float64) {
+// add adds a rate and returns the smoothed rate and the relative growth to expect
+// until a decision takes effect. Each average lags a linear rise by its time
+// constant, so their difference is the growth during the difference of the two
+// constants, about the time for a report, a decision and a step.
+func (r *flowRate) add(rps float64, since time.Duration) (smooth, growth float64) {
 	if !r.known {
-		*r = rate{known: true, fast: rps, slow: rps}
+		*r = flowRate{known: true, fast: rps, slow: rps}
 		return rps, 0
 	}
-	r.fast += (rps - r.fast) * weightOf(since, smoothing)
-	r.slow += (rps - r.slow) * weightOf(since, trend)
+	r.fast += (rps - r.fast) * smoothingWeight(since, smoothingTime)
+	r.slow += (rps - r.slow) * smoothingWeight(since, trendTime)
 	if r.fast <= 0 {
 		return r.fast, 0
 	}
-	growth = (r.fast-r.slow)/r.fast - leastGrowth
-	return r.fast, min(max(growth, 0), mostGrowth)
+	growth = (r.fast-r.slow)/r.fast - noiseGrowth
+	return r.fast, min(max(growth, 0), maxGrowth)
 }
--- a/steering/aggregate/steady.go
+++ b/steering/aggregate/steady.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// steadyAfter is how long targets must have been there before they count.
+// steadyAfter is how long targets must be usable before they count as stable.
 const steadyAfter = 30 * time.Second
 
-// steadyPart is the part of a place's targets that is relied on. A part that falls
-// counts at once, one that rises only after it has lasted: targets that go and
-// come again would draw work in and throw it out each time, and between two
-// failures the rest would stay to meet the next one.
-type steadyPart struct {
-	part float64
-	// since is when the part was last that low, least the lowest seen since.
-	since time.Time
-	least float64
+// steadyFraction tracks the fraction of a place's targets that counts as stable. A
+// decrease applies at once, an increase only after steadyAfter, so that flapping
+// targets do not attract traffic between two failures.
+type steadyFraction struct {
+	value float64
+	// since is when the fraction was last at or below value, lowest the smallest
+	// fraction since then.
+	since  time.Time
+	lowest float64
 }
 
-func newSteadyPart(part float64, now time.Time) *steadyPart {
-	return &steadyPart{part: part, since: now, least: math.Inf(1)}
+func newSteadyFraction(fraction float64, now time.Time) *steadyFraction {
+	return &steadyFraction{value: fraction, since: now, lowest: math.Inf(1)}
 }
 
-// update takes in the part that is usable now and returns the one relied on.
-func (s *steadyPart) update(part float64, now time.Time) float64 {
-	if part <= s.part {
-		*s = *newSteadyPart(part, now)
-		return s.part
+// update records the fraction usable now and returns the stable one.
+func (s *steadyFraction) update(fraction float64, now time.Time) float64 {
+	if fraction <= s.value {
+		*s = *newSteadyFraction(fraction, now)
+		return s.value
 	}
-	s.least = min(s.least, part)
+	s.lowest = min(s.lowest, fraction)
 	if now.Sub(s.since) >= steadyAfter {
-		*s = *newSteadyPart(s.least, now)
+		*s = *newSteadyFraction(s.lowest, now)
 	}
-	return s.part
+	return s.value
 }
