--- a/steering/explain/explain.go
+++ b/steering/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts a decision into words and numbers for operators: for
-// each flow its shares, and for each share why it is what it is.
+// Package explain renders a decision for operators: the shares of each flow and the
+// reasons for each share.
 package explain
 
 import (
@@ -15,10 +15,10 @@
 type Report struct {
 	Account        model.AccountName `json:"account"`
 	ConfigRevision uint64            `json:"config_revision"`
-	// Frozen tells that the measurements are too old for any increase.
+	// Frozen reports that the measurements are too old for any increase.
 	Frozen bool   `json:"frozen"`
 	Flows  []Flow `json:"flows"`
-	// Limits lists what each service may do in each place.
+	// Limits lists the desired and the usable rate of each service in each place.
 	Limits []Limit `json:"limits"`
 }
 
@@ -31,26 +31,26 @@
 	Notes []Line `json:"notes,omitempty"`
 }
 
-// Share explains one place's part of a flow.
+// Share explains the share of one place in a flow.
 type Share struct {
 	Place   model.PlaceName `json:"place"`
 	Percent float64         `json:"percent"`
 	Reasons []Line          `json:"reasons"`
 }
 
-// Line is one reason.
+// Line is one reason with its values and its text.
 type Line struct {
 	// Kind is the name of the steering.Kind.
 	Kind  string          `json:"kind"`
 	Place model.PlaceName `json:"place,omitempty"`
 	Value float64         `json:"value"`
 	Limit float64         `json:"limit"`
-	// WaitMS is a time left, in ms, for the kinds that have one.
+	// WaitMS is the remaining time in ms, for the kinds that have one.
 	WaitMS int64  `json:"wait_ms,omitempty"`
 	Text   string `json:"text"`
 }
 
-// Limit is what a service may do in a place.
+// Limit holds the desired and the usable rate of a service in a place.
 type Limit struct {
 	Service    model.ServiceName `json:"service"`
 	Place      model.PlaceName   `json:"place"`
@@ -58,7 +58,7 @@
 	UsableRPS  float64           `json:"usable_rps"`
 }
 
-// NewReport explains a decision.
+// NewReport returns the explanation of a decision.
 func NewReport(d *steering.Decision) *Report {
 	r := &Report{Account: d.Plan.Account, ConfigRevision: d.Plan.ConfigRevision, Frozen: d.Frozen}
 	for i := range d.Plan.Flows {
@@ -82,8 +82,8 @@
 		if reason.Service != f.Service || reason.Caller != f.Caller {
 			continue
 		}
-		if at, ok := index[reason.Place]; ok {
-			flow.Shares[at].Reasons = append(flow.Shares[at].Reasons, lineOf(reason))
+		if j, ok := index[reason.Place]; ok {
+			flow.Shares[j].Reasons = append(flow.Shares[j].Reasons, lineOf(reason))
 			continue
 		}
 		flow.Notes = append(flow.Notes, lineOf(reason))
--- a/steering/explain/explain_test.go
+++ b/steering/explain/explain_test.go
@@ -10,19 +10,17 @@
 	"github.com/yuccaroute/yuccaroute/steering"
 )
 
-// Every kind must come out as a sentence that has its numbers; one that was
-// forgotten would show as a bare name.
-func TestEveryKindHasWords(t *testing.T) {
+// Every kind must have a text; a missing one falls back to the name of the kind.
+func TestEveryKindHasText(t *testing.T) {
 	for kind := steering.KindLatency; kind.String() != "invalid"; kind++ {
 		text := textOf(&steering.Reason{Kind: kind, Place: "kr-seoul-a", Value: 0.25, Limit: 0.5, Wait: 90 * time.Second})
 		if text == kind.String() || len(text) < 20 {
-			t.Errorf("%s reads %q", kind, text)
+			t.Errorf("text of kind %s is %q", kind, text)
 		}
 	}
 }
 
-// An operator asks why callers from Seoul are sent to Busan: the text names
-// the full place with its numbers.
+// The report must name the full place that causes traffic to go to another region.
 func TestReportNamesTheCause(t *testing.T) {
 	account := &model.Account{
 		Name:   "daehan",
@@ -49,7 +47,7 @@
 	text := r.String()
 	for _, want := range []string{"dealer-desk from kr-seoul", "60.00 %  kr-seoul-a", "kr-seoul-a is full: 300 of 300 requests/s"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("no %q in\n%s", want, text)
+			t.Errorf("report lacks %q:\n%s", want, text)
 		}
 	}
 	if sum := r.Flows[0].Shares[0].Percent + r.Flows[0].Shares[1].Percent; sum != float64(plan.Whole)*100/plan.Whole {
--- a/steering/explain/text.go
+++ b/steering/explain/text.go
@@ -7,7 +7,7 @@
 	"github.com/yuccaroute/yuccaroute/steering"
 )
 
-// textOf returns a reason as one sentence with its numbers.
+// textOf returns a reason as one sentence with its values.
 func textOf(r *steering.Reason) string {
 	switch r.Kind {
 	case steering.KindLatency:
@@ -31,11 +31,11 @@
 	case steering.KindDrainLate:
 		return fmt.Sprintf("the drain of %s cannot end on schedule within the move cap: %.2f %% will be left, it ends %s late", r.Place, 100*r.Value, seconds(r.Wait))
 	default:
-		return plainText(r)
+		return stateText(r)
 	}
 }
 
-func plainText(r *steering.Reason) string {
+func stateText(r *steering.Reason) string {
 	switch r.Kind {
 	case steering.KindStale:
 		return fmt.Sprintf("the measurements are %.0f s old; nothing is increased from %.0f s on", r.Value, r.Limit)
