--- a/steering/forecast/changes.go
+++ b/steering/forecast/changes.go
@@ -10,17 +10,17 @@
 	var all []Change
 	for i := range after.Flows {
 		f := &after.Flows[i]
-		was := make(map[model.PlaceName]uint32)
+		oldShares := make(map[model.PlaceName]uint32)
 		if old := oldFlow(before, f); old != nil {
 			for _, s := range old.Shares {
-				was[s.Place] = s.PPM
+				oldShares[s.Place] = s.PPM
 			}
 		}
 		for _, s := range f.Shares {
-			all = appendChange(all, f, s.Place, was[s.Place], s.PPM)
-			delete(was, s.Place)
+			all = appendChange(all, f, s.Place, oldShares[s.Place], s.PPM)
+			delete(oldShares, s.Place)
 		}
-		all = appendGone(all, f, oldFlow(before, f), was)
+		all = appendRemoved(all, f, oldFlow(before, f), oldShares)
 	}
 	return all
 }
@@ -32,13 +32,13 @@
 	return before.Flow(f.Service, f.Caller)
 }
 
-// appendGone adds the places that have no share any more, in their old order.
-func appendGone(all []Change, f, old *plan.Flow, was map[model.PlaceName]uint32) []Change {
+// appendRemoved appends the places that lost their share, in their old order.
+func appendRemoved(all []Change, f, old *plan.Flow, oldShares map[model.PlaceName]uint32) []Change {
 	if old == nil {
 		return all
 	}
 	for _, s := range old.Shares {
-		if ppm, left := was[s.Place]; left {
+		if ppm, removed := oldShares[s.Place]; removed {
 			all = appendChange(all, f, s.Place, ppm, 0)
 		}
 	}
--- a/steering/forecast/forecast.go
+++ b/steering/forecast/forecast.go
@@ -1,7 +1,7 @@
-// Package forecast shows an operator what a changed account would do before it
-// is put in force: which shares move, how long that takes within the move cap,
-// and whether the capacities hold. It decides again and again on the demand
-// last measured until nothing changes.
+// Package forecast predicts the effect of a configuration change of an account:
+// which shares move, how long that takes within the move cap, and whether the
+// capacities suffice. It repeats decisions on the last measured demand until
+// nothing changes.
 package forecast
 
 import (
@@ -12,31 +12,31 @@
 )
 
 const (
-	// interval is the time between two decisions.
-	interval = time.Second
-	// longest is the time after which a forecast gives up.
-	longest = time.Hour
-	// still is how long nothing may change before the account counts as
-	// settled: longer than a step of a cold place takes.
-	still = 30 * time.Second
+	// decisionInterval is the simulated time between two decisions.
+	decisionInterval = time.Second
+	// maxDuration is the simulated time after which a forecast stops.
+	maxDuration = time.Hour
+	// settleTime is how long nothing may change before the account counts as
+	// settled. It exceeds the time of one step of a cold place.
+	settleTime = 30 * time.Second
 )
 
-// Forecast is the outcome of a changed account.
+// Forecast is the predicted effect of a changed account.
 type Forecast struct {
-	// Settled tells that the shares came to rest within an hour.
+	// Settled reports whether the shares settled within an hour.
 	Settled bool `json:"settled"`
-	// DurationMS is the time to the last change, in ms.
+	// DurationMS is the time until the last change, in ms.
 	DurationMS int64 `json:"takes_ms"`
-	// MovedPercent is the part of the account's traffic that moves in all.
+	// MovedPercent is the total part of the account's traffic that moves.
 	MovedPercent float64 `json:"moved_percent"`
-	// Changes lists the shares that end elsewhere than they are now.
+	// Changes lists the shares whose final value differs from the present one.
 	Changes []Change `json:"changes"`
-	// Shortfalls lists where the demand is more than what may be carried: the rest
+	// Shortfalls lists the services whose demand exceeds their limits. The excess
 	// would be refused.
 	Shortfalls []Shortfall `json:"over,omitempty"`
-	// CapacityHolds tells that Over is empty.
+	// CapacityHolds reports whether Shortfalls is empty.
 	CapacityHolds bool `json:"capacity_holds"`
-	// FinalDecision is the decision the account comes to rest with.
+	// FinalDecision is the last simulated decision.
 	FinalDecision steering.Decision `json:"-"`
 }
 
@@ -50,22 +50,22 @@
 	After  float64 `json:"after_percent"`
 }
 
-// Shortfall is a service whose demand passes what the account lets it carry.
+// Shortfall is a service whose demand exceeds what it may carry.
 type Shortfall struct {
 	Service    model.ServiceName `json:"service"`
 	DemandRPS  float64           `json:"demand_rps"`
 	CarriedRPS float64           `json:"carried_rps"`
 }
 
-// Run forecasts what an account does when it replaces the one of the input.
-// The measurements of the input are taken as they are and as lasting. Drains
-// planned for later are not waited for.
+// Run predicts the effect of replacing the account of the input by changed. It
+// assumes that the measurements of the input stay as they are and does not wait
+// for drains that start later.
 func Run(in steering.Input, changed *model.Account) Forecast {
-	r := runner{in: in, start: in.Now}
-	r.in.Account = changed
-	r.freshen()
-	for r.now() < longest && r.now()-r.last < still+interval {
-		r.step()
+	s := simulation{in: in, start: in.Now}
+	s.in.Account = changed
+	s.prepareInput()
+	for s.elapsed() < maxDuration && s.elapsed()-s.lastChange < settleTime+decisionInterval {
+		s.step()
 	}
-	return r.result()
+	return s.result()
 }
--- a/steering/forecast/forecast_test.go
+++ b/steering/forecast/forecast_test.go
@@ -33,17 +33,16 @@
 	return in
 }
 
-// An operator takes a place out of service at noon and learns of the refusals
-// from the callers. The forecast says beforehand that half of the traffic
-// moves, that the cap needs five windows for it, and that it fits.
+// The forecast of a removed place must report the moved traffic, the time that the
+// move cap needs for it, and that the remaining capacity suffices.
 func TestForecastOfARemovedPlace(t *testing.T) {
 	changed := account(1000)
 	changed.Places = changed.Places[1:]
 	changed.Services[0].Capacity = changed.Services[0].Capacity[1:]
 	f := Run(input(), changed)
-	takes := time.Duration(f.DurationMS) * time.Millisecond
-	if !f.Settled || !f.CapacityHolds || takes < 4*time.Minute || takes > 6*time.Minute {
-		t.Fatalf("settled %v after %v, over %v", f.Settled, takes, f.Shortfalls)
+	duration := time.Duration(f.DurationMS) * time.Millisecond
+	if !f.Settled || !f.CapacityHolds || duration < 4*time.Minute || duration > 6*time.Minute {
+		t.Fatalf("settled %v after %v, shortfalls %v", f.Settled, duration, f.Shortfalls)
 	}
 	if len(f.Changes) != 2 || f.Changes[0].After != 100 || f.Changes[1].After != 0 {
 		t.Fatalf("changes %+v", f.Changes)
@@ -53,18 +52,18 @@
 	}
 }
 
-// A change that leaves less capacity than there is demand must not look fine.
-func TestForecastTellsOfMissingCapacity(t *testing.T) {
+// A change that leaves less capacity than demand must report a shortfall.
+func TestForecastReportsMissingCapacity(t *testing.T) {
 	changed := account(1000)
 	changed.Services[0].Capacity[0].RPS = 100
 	changed.Services[0].Capacity[1].RPS = 500
 	f := Run(input(), changed)
 	if f.CapacityHolds || len(f.Shortfalls) != 1 || f.Shortfalls[0].CarriedRPS > 600.001 {
-		t.Fatalf("holds %v, over %+v", f.CapacityHolds, f.Shortfalls)
+		t.Fatalf("capacity holds %v, shortfalls %+v", f.CapacityHolds, f.Shortfalls)
 	}
 }
 
-// A change of nothing moves nothing and takes no time.
+// An unchanged account moves nothing and takes no time.
 func TestForecastOfNoChange(t *testing.T) {
 	f := Run(input(), account(1000))
 	if !f.Settled || f.DurationMS != 0 || len(f.Changes) != 0 || !f.CapacityHolds {
