--- a/steering/planner/fleet_cap_test.go
+++ b/steering/planner/fleet_cap_test.go
@@ -7,19 +7,19 @@
 	"github.com/yuccaroute/yuccaroute/api/plan"
 )
 
-// fleetCases are the ways in which nodes get out of step while callers go from one to another.
+// fleetCases let nodes fall behind the plan while callers switch between nodes.
 var fleetCases = []struct {
 	name string
-	// passes tells that the cap is passed when nothing is charged.
-	passes bool
-	at     func(f *fleet, second int)
+	// exceedsCap is whether the cap is exceeded when lag is not charged.
+	exceedsCap bool
+	inject     func(f *fleet, second int)
 }{
-	{"callers go to and fro", false, func(f *fleet, s int) {
+	{"callers switch nodes at random", false, func(f *fleet, s int) {
 		for range 4 {
-			f.at[f.random.IntN(fleetGroups)] = f.random.IntN(len(f.nodes))
+			f.nodeOf[f.random.IntN(callerGroups)] = f.random.IntN(len(f.nodes))
 		}
 	}},
-	{"a VM dies, another starts", false, func(f *fleet, s int) {
+	{"a VM fails and is replaced", false, func(f *fleet, s int) {
 		i := s / 40 % len(f.nodes)
 		switch s % 40 {
 		case 10:
@@ -27,7 +27,7 @@
 			f.moveCallers(i, (i+1)%len(f.nodes))
 		case 20:
 			f.replace(i)
-			f.callBack(i)
+			f.returnCallers(i)
 		}
 	}},
 	{"a VM is paused for 25 s", true, func(f *fleet, s int) {
@@ -38,90 +38,88 @@
 			f.moveCallers(i, (i+1)%len(f.nodes))
 		case 35:
 			f.nodes[i].paused = false
-			f.callBack(i)
+			f.returnCallers(i)
 		}
 	}},
-	{"a VM is cut from the decider for 40 s", true, cutOff},
-	{"a VM is cut off, the decider changes", true, func(f *fleet, s int) {
+	{"a VM is partitioned from the decider for 40 s", true, partitionNode},
+	{"a VM is partitioned, the decider changes", true, func(f *fleet, s int) {
 		if s%90 == 25 {
 			f.takeover()
 		}
-		cutOff(f, s)
+		partitionNode(f, s)
 	}},
 }
 
-func cutOff(f *fleet, s int) {
+func partitionNode(f *fleet, s int) {
 	i := s / 90 % len(f.nodes)
 	switch s % 90 {
 	case 10:
-		f.nodes[i].cut = true
+		f.nodes[i].partitioned = true
 	case 48:
 		f.moveCallers(i, (i+1)%len(f.nodes))
 	case 50:
-		f.nodes[i].cut = false
-		f.nodes[i].inbox = append(f.nodes[i].inbox, sent{f.now, f.given})
-		f.callBack(i)
+		f.nodes[i].partitioned = false
+		f.nodes[i].inbox = append(f.nodes[i].inbox, delivery{f.now, f.currentPlan})
+		f.returnCallers(i)
 	}
 }
 
-// callBack brings the callers back that a node had at first.
-func (f *fleet) callBack(i int) {
-	for g := i; g < fleetGroups; g += len(f.nodes) {
-		f.at[g] = i
+// returnCallers moves the initial callers of a node back to it.
+func (f *fleet) returnCallers(i int) {
+	for g := i; g < callerGroups; g += len(f.nodes) {
+		f.nodeOf[g] = i
 	}
 }
 
-// A region's caches are cold for more of the traffic than the account allows,
-// and orders time out. A VM dies, is paused or cut off for a while, the plan
-// goes on, and callers go from this VM to others and back: no VM moves more than
-// the cap, yet the traffic does.
+// Callers that switch between a VM behind the plan and an up-to-date one must not
+// move more of the traffic than the cap, although no VM exceeds it by itself.
 func TestFleetStaysUnderCap(t *testing.T) {
 	for _, nodes := range []int{3, 8} {
 		for _, c := range fleetCases {
 			t.Run(fmt.Sprint(nodes, " VMs, ", c.name), func(t *testing.T) {
 				t.Parallel()
 				before, after := newFleet(nodes, false, 1), newFleet(nodes, true, 1)
-				before.play(c.at)
-				after.play(c.at)
-				t.Logf("without the charge: %s, with it: %s", before, after)
-				if c.passes != before.over() {
-					t.Errorf("without the charge %s", before)
+				before.simulate(c.inject)
+				after.simulate(c.inject)
+				t.Logf("without charged lag: %s, with it: %s", before, after)
+				if c.exceedsCap != before.exceedsCap() {
+					t.Errorf("without charged lag: %s", before)
 				}
-				if after.over() {
-					t.Errorf("with the charge %s", after)
+				if after.exceedsCap() {
+					t.Errorf("with charged lag: %s", after)
 				}
 			})
 		}
 	}
 }
 
-// over reports whether the cap was passed by more than sums of shares round.
-func (f *fleet) over() bool { return f.most > fleetLimits.Share+1e-9 }
+// exceedsCap reports whether more than the cap moved, beyond rounding errors.
+func (f *fleet) exceedsCap() bool { return f.maxMoved > fleetLimits.Share+1e-9 }
 
 func (f *fleet) String() string {
-	return fmt.Sprintf("at most %.4f moved in a window and %.2f in all", f.most, float64(f.total)/plan.Whole)
+	return fmt.Sprintf("at most %.4f moved in a window and %.2f in total", f.maxMoved, float64(f.totalMoved)/plan.Whole)
 }
 
-// Any mix of pauses, cuts, deaths, changes of decider and callers who go
-// elsewhere. In seed 36 callers crowd to a VM that was cut off before the decider
-// changed, for longer than the moves are on record.
+// The cap must hold under random pauses, partitions, VM failures, decider changes
+// and callers that switch nodes. In seed 36 callers crowd to a VM that is
+// partitioned before the decider changes, for longer than moves are remembered.
 func TestFleetStaysUnderCapInRandomFaults(t *testing.T) {
-	passed := 0
+	exceeded := 0
 	for _, seed := range []uint64{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 36} {
 		nodes := 3 + int(seed%6)
 		before, after := newFleet(nodes, false, seed), newFleet(nodes, true, seed)
-		before.play(randomFaults)
-		after.play(randomFaults)
-		t.Logf("seed %d, %d VMs: without the charge %s, with it %s", seed, nodes, before, after)
-		if after.over() {
+		before.simulate(randomFaults)
+		after.simulate(randomFaults)
+		t.Logf("seed %d, %d VMs: without charged lag: %s, with it: %s", seed, nodes, before, after)
+		if after.exceedsCap() {
 			t.Errorf("seed %d: %s", seed, after)
 		}
-		if before.over() {
-			passed++
+		if before.exceedsCap() {
+			exceeded++
 		}
 	}
-	if passed == 0 {
-		t.Error("no seed passes the cap without the charge")
+	if exceeded == 0 {
+		t.Error("no seed exceeds the cap without charged lag")
 	}
 }
 
@@ -136,40 +134,39 @@
 	case 0:
 		n.paused = !n.paused
 	case 1:
-		n.cut = !n.cut
-		if !n.cut {
-			n.inbox = append(n.inbox, sent{f.now, f.given})
+		n.partitioned = !n.partitioned
+		if !n.partitioned {
+			n.inbox = append(n.inbox, delivery{f.now, f.currentPlan})
 		}
 	case 2:
 		f.replace(i)
 	case 3:
-		f.moveToOneInStep(i)
+		f.moveToUpToDateNode(i)
 	case 4:
-		f.callBackFitting(i)
+		f.returnCallersThatFit(i)
 	}
 	if n.paused {
-		f.moveToOneInStep(i)
+		f.moveToUpToDateNode(i)
 	}
 }
 
-// All callers crowd to one VM, as those near them refuse, just before the decider
-// changes. It was cut off for some plans, and its last report told of few
-// callers; when they come, and when they leave, more than the cap moves. How many
-// it serves is bounded by its grants, here of a capacity ten times the load.
+// The cap must hold when all callers crowd to a partitioned VM just before the
+// decider changes, though its last report contains few callers. Its grants bound
+// what it serves.
 func TestCrowdAtASilentVMStaysUnderCap(t *testing.T) {
 	for _, seed := range []uint64{16, 152, 309} {
 		nodes := 3 + int(seed%6)
 		before, after := newFleet(nodes, true, seed), newFleet(nodes, true, seed)
-		before.capacity, after.capacity = 10*fleetGroups, 10*fleetGroups
-		after.tellsGrants = true
-		before.play(crowdFaults)
-		after.play(crowdFaults)
-		t.Logf("seed %d: grants not counted: %s, counted: %s", seed, before, after)
-		if after.over() {
+		before.capacity, after.capacity = 10*callerGroups, 10*callerGroups
+		after.exposeGrants = true
+		before.simulate(crowdFaults)
+		after.simulate(crowdFaults)
+		t.Logf("seed %d: without grants: %s, with grants: %s", seed, before, after)
+		if after.exceedsCap() {
 			t.Errorf("seed %d: %s", seed, after)
 		}
-		if !before.over() {
-			t.Errorf("seed %d: when grants are not counted %s, which shows nothing", seed, before)
+		if !before.exceedsCap() {
+			t.Errorf("seed %d: the cap holds without grants too: %s", seed, before)
 		}
 	}
 }
@@ -185,33 +182,34 @@
 	randomFaults(f, s)
 }
 
-// moveToOneInStep lets the callers of a node go to one that has reached the
-// plan and has room, twice an equal part: those who crowd to a node that lags, or
-// to one that then does, are beyond what is charged for it.
-func (f *fleet) moveToOneInStep(i int) {
+// moveToUpToDateNode moves the callers of a node to one that has applied the current
+// plan and has capacity left, as the charge does not cover callers that crowd to a
+// lagging node.
+func (f *fleet) moveToUpToDateNode(i int) {
 	for _, j := range f.random.Perm(len(f.nodes)) {
 		n := f.nodes[j]
-		if _, sequence := n.stepper.Reached(); j != i && !n.paused && !n.cut && sequence == f.given.Sequence && f.fits(i, j) {
+		if _, sequence := n.stepper.Reached(); j != i && !n.paused && !n.partitioned && sequence == f.currentPlan.Sequence && f.fits(i, j) {
 			f.moveCallers(i, j)
 			return
 		}
 	}
 }
 
-// fits reports whether the callers of two nodes are at most two equal parts.
+// fits reports whether two nodes together have at most twice the mean number of
+// callers.
 func (f *fleet) fits(i, j int) bool {
 	callers := 0
-	for _, at := range f.at {
-		if at == i || at == j {
+	for _, node := range f.nodeOf {
+		if node == i || node == j {
 			callers++
 		}
 	}
-	return callers*len(f.nodes) <= 2*fleetGroups
+	return callers*len(f.nodes) <= 2*callerGroups
 }
 
-// callBackFitting brings callers back while there is room for them.
-func (f *fleet) callBackFitting(i int) {
-	for g := i; g < fleetGroups && f.fits(i, i); g += len(f.nodes) {
-		f.at[g] = i
+// returnCallersThatFit moves initial callers back to a node while they fit.
+func (f *fleet) returnCallersThatFit(i int) {
+	for g := i; g < callerGroups && f.fits(i, i); g += len(f.nodes) {
+		f.nodeOf[g] = i
 	}
 }
--- a/steering/planner/fleet_test.go
+++ b/steering/planner/fleet_test.go
@@ -17,92 +17,92 @@
 )
 
 const (
-	fleetGroups  = 48
-	fleetTick    = 250 * time.Millisecond
-	fleetSeconds = 600
-	turn         = 3 * time.Minute
-	// removal is how long an ended node is on record.
-	removal = 30 * time.Second
-	// usable is the part of the capacity that is granted, floors the part that
-	// stays with a silent node; the rest ends after surplusTime.
-	usable, floors = 0.95, 0.7
-	surplusTime    = 15 * time.Second
+	callerGroups      = 48
+	fleetTick         = 250 * time.Millisecond
+	fleetSeconds      = 600
+	destinationPeriod = 3 * time.Minute
+	// removalTime is how long a stopped node stays in the ledger.
+	removalTime = 30 * time.Second
+	// usableFraction is the fraction of the capacity that is granted, floorFraction
+	// the fraction that a silent node keeps after surplusTime.
+	usableFraction, floorFraction = 0.95, 0.7
+	surplusTime                   = 15 * time.Second
 )
 
 var fleetLimits = model.MoveLimits{Share: 0.1, Window: 10 * time.Second}
 
-// fleet is several nodes out of step, callers who go from one to another, and
-// a decider that moves as much as it may, one way and then another.
+// fleet simulates nodes that lag behind the plan, callers that switch between them,
+// and a decider that uses the whole move cap and changes direction.
 type fleet struct {
-	random   *rand.Rand
-	now      time.Time
-	charging bool
-	nodes    []*fleetNode
-	// capacity is what all places carry, in groups of callers, 0 for no bound.
+	random    *rand.Rand
+	now       time.Time
+	chargeLag bool
+	nodes     []*fleetNode
+	// capacity is the total capacity in caller groups, 0 for no limit.
 	capacity float64
-	// tellsGrants tells that the decider counts grants.
-	tellsGrants bool
-	// at[g] is the node of a group of callers.
-	at      []int
-	tracker *lagTracker
-	given   *plan.Plan
-	moves   []ledger.Move
-	// since is when the present decider took over.
-	since time.Time
-	// ended are the lives that are over.
-	ended []*fleetNode
-	// placed holds how the groups were served in the last window.
-	placed [][fleetGroups]served
-	most   float64
-	// total is what the plan moved in all.
-	total uint32
+	// exposeGrants passes the nodes' grants to the planner.
+	exposeGrants bool
+	// nodeOf[g] is the index of the node that caller group g uses.
+	nodeOf      []int
+	tracker     *lagTracker
+	currentPlan *plan.Plan
+	moves       []ledger.Move
+	// termStart is when the current decider took over.
+	termStart time.Time
+	// endedNodes are the node incarnations that have stopped.
+	endedNodes []*fleetNode
+	// servedWindow holds how each group was served at each tick of the last window.
+	servedWindow [][callerGroups]served
+	maxMoved     float64
+	// totalMoved is the sum of the plan's moves in parts per million.
+	totalMoved uint32
 }
 
 type fleetNode struct {
-	life      uint64
-	stepper   *step.Stepper
-	effective *plan.Plan
-	inbox     []sent
-	report    observe.Report
-	reported  time.Time
-	end       time.Time
-	paused    bool
-	cut       bool
-	// granted is the node's grant, a floor for the most part.
+	incarnation uint64
+	stepper     *step.Stepper
+	effective   *plan.Plan
+	inbox       []delivery
+	report      observe.Report
+	reported    time.Time
+	end         time.Time
+	paused      bool
+	partitioned bool
+	// granted is the rate of the node's grant, of which most is its floor.
 	granted float64
 }
 
-// served is by which shares a group is served, and what part of it is.
+// served holds the shares by which a group is served and its served fraction.
 type served struct {
-	shares []plan.Share
-	part   float64
+	shares   []plan.Share
+	fraction float64
 }
 
-type sent struct {
+type delivery struct {
 	at time.Time
 	p  *plan.Plan
 }
 
-func newFleet(nodes int, charging bool, seed uint64) *fleet {
+func newFleet(nodes int, chargeLag bool, seed uint64) *fleet {
 	f := &fleet{
-		random:   rand.New(rand.NewPCG(seed, 7)),
-		now:      start,
-		charging: charging,
-		tracker:  newLagTracker(),
-		given:    sharesPlan(1, plan.Whole, 0),
+		random:      rand.New(rand.NewPCG(seed, 7)),
+		now:         start,
+		chargeLag:   chargeLag,
+		tracker:     newLagTracker(),
+		currentPlan: sharesPlan(1, plan.Whole, 0),
 	}
 	for i := range nodes {
 		f.nodes = append(f.nodes, f.freshNode(uint64(i+1)))
 	}
-	for g := range fleetGroups {
-		f.at = append(f.at, g%nodes)
+	for g := range callerGroups {
+		f.nodeOf = append(f.nodeOf, g%nodes)
 	}
 	return f
 }
 
-func (f *fleet) freshNode(life uint64) *fleetNode {
-	n := &fleetNode{life: life, stepper: step.New(fleetLimits, func() time.Time { return f.now })}
-	n.inbox = []sent{{f.now, f.given}}
+func (f *fleet) freshNode(incarnation uint64) *fleetNode {
+	n := &fleetNode{incarnation: incarnation, stepper: step.New(fleetLimits, func() time.Time { return f.now })}
+	n.inbox = []delivery{{f.now, f.currentPlan}}
 	return n
 }
 
@@ -125,19 +125,19 @@
 	return 0
 }
 
-// situation is what the present decider knows.
-func (f *fleet) situation() *decider.PlannerInput {
+// plannerInput returns what the current decider knows.
+func (f *fleet) plannerInput() *decider.PlannerInput {
 	s := &decider.PlannerInput{
 		Account:   &model.Account{Moves: fleetLimits, Services: []model.Service{{Name: "desk"}}},
-		Previous:  f.given,
+		Previous:  f.currentPlan,
 		Moves:     f.moves,
 		Now:       f.now,
-		TermStart: f.since,
+		TermStart: f.termStart,
 	}
-	if f.tellsGrants {
+	if f.exposeGrants {
 		s.PermittedRPS = func(id grant.NodeID, _ model.ServiceName) float64 {
-			for _, n := range slices.Concat(f.ended, f.nodes) {
-				if n.life == id.Incarnation {
+			for _, n := range slices.Concat(f.endedNodes, f.nodes) {
+				if n.incarnation == id.Incarnation {
 					return n.permitted(f.now)
 				}
 			}
@@ -146,16 +146,16 @@
 	}
 	var known []decider.NodeReport
 	for i, n := range f.nodes {
-		n.report.Node = grant.NodeID{VM: fmt.Sprint("vm", i), Incarnation: n.life}
+		n.report.Node = grant.NodeID{VM: fmt.Sprint("vm", i), Incarnation: n.incarnation}
 		known = append(known, decider.NodeReport{Report: n.report, Age: f.now.Sub(n.reported)})
 	}
-	for _, n := range f.ended {
-		if f.now.Sub(n.end) < removal {
+	for _, n := range f.endedNodes {
+		if f.now.Sub(n.end) < removalTime {
 			known = append(known, decider.NodeReport{Report: n.report, Age: f.now.Sub(n.reported)})
 		}
 	}
 	for _, o := range known {
-		if o.Age > f.now.Sub(f.since) {
+		if o.Age > f.now.Sub(f.termStart) {
 			s.UnreportedNodes = append(s.UnreportedNodes, o.Report.Node)
 			continue
 		}
@@ -164,28 +164,28 @@
 	return s
 }
 
-// replace lets a node's life end and another begin on its VM.
+// replace stops a node and starts a new incarnation on its VM.
 func (f *fleet) replace(i int) {
 	if old := f.nodes[i]; old.effective != nil {
 		old.end = f.now
-		f.ended = append(f.ended, old)
+		f.endedNodes = append(f.endedNodes, old)
 	}
 	f.nodes[i] = f.freshNode(uint64(100 + f.now.Unix()))
 }
 
-// takeover lets another decider go on: it knows no plan but the last, no
-// report, and takes all moves on record as just made.
+// takeover changes the decider. The new one knows only the last plan and no report,
+// and counts all recorded moves as made now.
 func (f *fleet) takeover() {
 	f.tracker = newLagTracker()
-	f.since = f.now
+	f.termStart = f.now
 	for i := range f.moves {
 		f.moves[i].At = f.now
 	}
 }
 
-// decide moves towards a, b or c, each for a while, by what the cap leaves.
+// decide moves traffic towards one place at a time, as far as the cap allows.
 func (f *fleet) decide() {
-	if f.now.Sub(f.since) < reportGracePeriod {
+	if f.now.Sub(f.termStart) < reportGracePeriod {
 		return
 	}
 	budget := int64(fleetLimits.Share * plan.Whole)
@@ -194,63 +194,63 @@
 			budget -= int64(m.Delta)
 		}
 	}
-	behind := f.tracker.update(f.situation())
-	if f.charging && len(behind) > 0 {
-		budget -= int64(behind[0].PPM)
+	charges := f.tracker.update(f.plannerInput())
+	if f.chargeLag && len(charges) > 0 {
+		budget -= int64(charges[0].PPM)
 	}
-	goals := []model.PlaceName{"b", "c", "a"}
-	goal := goals[int(f.now.Sub(start)/turn)%len(goals)]
+	destinations := []model.PlaceName{"b", "c", "a"}
+	destination := destinations[int(f.now.Sub(start)/destinationPeriod)%len(destinations)]
 	if budget > 0 {
-		f.give(goal, uint32(budget))
+		f.publish(destination, uint32(budget))
 	}
 }
 
-func (f *fleet) give(goal model.PlaceName, budget uint32) {
+func (f *fleet) publish(destination model.PlaceName, budget uint32) {
 	shares := map[model.PlaceName]uint32{}
 	moved := uint32(0)
 	for _, place := range []model.PlaceName{"a", "b", "c"} {
-		shares[place] = ppmAt(f.given, place)
-		if place != goal {
-			leaves := min(shares[place], budget-moved)
-			shares[place] -= leaves
-			moved += leaves
+		shares[place] = ppmAt(f.currentPlan, place)
+		if place != destination {
+			ppm := min(shares[place], budget-moved)
+			shares[place] -= ppm
+			moved += ppm
 		}
 	}
 	if moved == 0 {
 		return
 	}
-	f.given = sharesPlan(f.given.Sequence+1, shares["a"]+moved*one(goal == "a"), shares["b"]+moved*one(goal == "b"))
+	f.currentPlan = sharesPlan(f.currentPlan.Sequence+1, shares["a"]+moved*boolToUint(destination == "a"), shares["b"]+moved*boolToUint(destination == "b"))
 	f.moves = append(f.moves, ledger.Move{At: f.now, Service: "desk", Caller: "seoul", Delta: int32(moved)})
-	f.forgetMoves()
-	f.total += moved
+	f.dropOldMoves()
+	f.totalMoved += moved
 	for _, n := range f.nodes {
-		if !n.cut {
-			n.inbox = append(n.inbox, sent{f.now.Add(time.Duration(f.random.IntN(500)) * time.Millisecond), f.given})
+		if !n.partitioned {
+			n.inbox = append(n.inbox, delivery{f.now.Add(time.Duration(f.random.IntN(500)) * time.Millisecond), f.currentPlan})
 		}
 	}
 }
 
-// forgetMoves keeps the moves of as many windows as the ledger does.
-func (f *fleet) forgetMoves() {
+// dropOldMoves drops moves that the ledger no longer keeps.
+func (f *fleet) dropOldMoves() {
 	for f.now.Sub(f.moves[0].At) > steering.MoveMemory*fleetLimits.Window {
 		f.moves = f.moves[1:]
 	}
 }
 
-func one(yes bool) uint32 {
-	if yes {
+func boolToUint(b bool) uint32 {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// run lets the node take in plans and report each second.
-func (n *fleetNode) run(now time.Time) {
+// applyPlans advances the node towards the newest plan it has received.
+func (n *fleetNode) applyPlans(now time.Time) {
 	if n.paused {
 		return
 	}
 	var next *plan.Plan
-	var later []sent
+	var later []delivery
 	for _, s := range n.inbox {
 		switch {
 		case s.at.After(now):
@@ -263,8 +263,8 @@
 	n.effective, _ = n.stepper.Advance(next)
 }
 
-func (f *fleet) reportOf(n *fleetNode, i int) {
-	if n.paused || n.cut || n.effective == nil {
+func (f *fleet) recordReport(n *fleetNode, i int) {
+	if n.paused || n.partitioned || n.effective == nil {
 		return
 	}
 	rps := float64(f.callers(i))
@@ -273,23 +273,23 @@
 	}
 	n.report.PlanEpoch, n.report.PlanSequence = n.stepper.Reached()
 	n.reported = f.now
-	// A quarter is split evenly, the rest by demand.
-	n.granted = usable * f.capacity * (0.25/float64(len(f.nodes)) + 0.75*rps/fleetGroups)
+	// A quarter of the capacity is split evenly, the rest by demand.
+	n.granted = usableFraction * f.capacity * (0.25/float64(len(f.nodes)) + 0.75*rps/callerGroups)
 }
 
-// permitted is what the node may send at a time: its surplus has an end.
+// permitted returns the rate the node may send at a time; its surplus expires.
 func (n *fleetNode) permitted(now time.Time) float64 {
 	if now.Sub(n.reported) > surplusTime {
-		return n.granted * floors / usable
+		return n.granted * floorFraction / usableFraction
 	}
 	return n.granted
 }
 
-// part is the part of a node's callers that its grant lets it serve.
-func (f *fleet) part(i int) float64 {
+// servedFraction returns the fraction of a node's callers that its grant permits.
+func (f *fleet) servedFraction(i int) float64 {
 	n := f.nodes[i]
 	if n.paused || n.reported.IsZero() {
-		// A node that has not reported yet has no grants.
+		// A node has no grants before its first report.
 		return 0
 	}
 	if f.capacity == 0 {
@@ -300,57 +300,57 @@
 
 func (f *fleet) callers(i int) int {
 	callers := 0
-	for _, at := range f.at {
-		if at == i {
+	for _, node := range f.nodeOf {
+		if node == i {
 			callers++
 		}
 	}
 	return callers
 }
 
-// serve notes by which shares each group is served, and how much of the
-// traffic is served elsewhere than at any moment of the last window.
+// serve records how each group is served and the largest part of the traffic that
+// moved since any tick of the last window.
 func (f *fleet) serve() {
-	var present [fleetGroups]served
-	for g, i := range f.at {
-		if part := f.part(i); part > 0 {
-			present[g] = served{f.nodes[i].effective.Flows[0].Shares, part}
+	var current [callerGroups]served
+	for g, i := range f.nodeOf {
+		if fraction := f.servedFraction(i); fraction > 0 {
+			current[g] = served{f.nodes[i].effective.Flows[0].Shares, fraction}
 		}
 	}
-	for _, earlier := range f.placed {
+	for _, earlier := range f.servedWindow {
 		moved := 0.0
-		for g := range present {
-			both := min(earlier[g].part, present[g].part)
-			moved += both * float64(distance(earlier[g].shares, present[g].shares)) / plan.Whole
+		for g := range current {
+			common := min(earlier[g].fraction, current[g].fraction)
+			moved += common * float64(distance(earlier[g].shares, current[g].shares)) / plan.Whole
 		}
-		f.most = max(f.most, moved/fleetGroups)
+		f.maxMoved = max(f.maxMoved, moved/callerGroups)
 	}
-	f.placed = append(f.placed, present)
-	if len(f.placed) > int(fleetLimits.Window/fleetTick) {
-		f.placed = f.placed[1:]
+	f.servedWindow = append(f.servedWindow, current)
+	if len(f.servedWindow) > int(fleetLimits.Window/fleetTick) {
+		f.servedWindow = f.servedWindow[1:]
 	}
 }
 
 func (f *fleet) moveCallers(from, to int) {
-	for g := range f.at {
-		if f.at[g] == from {
-			f.at[g] = to
+	for g := range f.nodeOf {
+		if f.nodeOf[g] == from {
+			f.nodeOf[g] = to
 		}
 	}
 }
 
-// play runs the fleet; at is called each second.
-func (f *fleet) play(at func(f *fleet, second int)) {
+// simulate runs the fleet and calls inject each second.
+func (f *fleet) simulate(inject func(f *fleet, second int)) {
 	perSecond := int(time.Second / fleetTick)
 	for tick := range fleetSeconds * perSecond {
 		if tick%perSecond == 0 {
-			at(f, tick/perSecond)
+			inject(f, tick/perSecond)
 			f.decide()
 		}
 		for i, n := range f.nodes {
-			n.run(f.now)
+			n.applyPlans(f.now)
 			if tick%perSecond == i%perSecond {
-				f.reportOf(n, i)
+				f.recordReport(n, i)
 			}
 		}
 		f.serve()
--- a/steering/planner/planner_test.go
+++ b/steering/planner/planner_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC)
 
-func situation(now time.Time) decider.PlannerInput {
+func plannerInput(now time.Time) decider.PlannerInput {
 	account := &model.Account{
 		Name:     "daehan",
 		Moves:    model.MoveLimits{Share: 0.1, Window: time.Minute},
@@ -37,26 +37,24 @@
 	}
 }
 
-// Story: an operator asks for a dry run seconds after a change of decider. The
-// demand is not known yet; a forecast from no demand would say that every
-// capacity holds and nothing moves.
+// There must be no input for a forecast while a new decider does not know the demand,
+// since the forecast would report that every capacity suffices.
 func TestNoForecastFromUnknownDemand(t *testing.T) {
 	p := New()
-	p.Plan(situation(start.Add(time.Second)))
+	p.Plan(plannerInput(start.Add(time.Second)))
 	if last, ok := p.LastInput("daehan"); ok {
-		t.Errorf("input with demand %v", last.Demand)
+		t.Errorf("input with demand %v, want none", last.Demand)
 	}
 }
 
-// A decider takes over while a place is down and another decider's moves have
-// just used the cap up. Before the nodes have reported it moves nothing; then
-// it moves what the remembered moves leave, and no more.
+// A new decider moves nothing before the nodes have reported, and then no more than
+// the moves of its predecessor leave of the cap.
 func TestNewDeciderKeepsTheCap(t *testing.T) {
 	p := New()
-	if planned := p.Plan(situation(start.Add(time.Second))); len(planned.Moves) != 0 {
-		t.Fatalf("moved before the reports are in: %+v", planned.Moves)
+	if planned := p.Plan(plannerInput(start.Add(time.Second))); len(planned.Moves) != 0 {
+		t.Fatalf("moved before the reports arrived: %+v", planned.Moves)
 	}
-	s := situation(start.Add(10 * time.Second))
+	s := plannerInput(start.Add(10 * time.Second))
 	s.Moves = []ledger.Move{{At: start, Service: "desk", Caller: "seoul", Place: "b", Delta: 70_000}}
 	planned := p.Plan(s)
 	if len(planned.Moves) != 2 || planned.Moves[1].Delta != 30_000 {
@@ -69,21 +67,20 @@
 		t.Fatalf("last input %+v", last)
 	}
 	if _, ok := p.LastInput("alpenvlies"); ok {
-		t.Fatal("an input of an account nobody planned")
+		t.Fatal("input of an account without a plan")
 	}
 }
 
-// A place is down and one of two VMs has been silent since before the last
-// move. Its callers may come to the other VM at any moment and move by the
-// distance between the two: what the plan moves now must leave room for that.
-func TestSilentNodeLeavesLessToMove(t *testing.T) {
+// The plan must reserve part of the cap for callers of a silent VM, which move
+// traffic when they switch to an up-to-date VM.
+func TestSilentNodeReducesMoves(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		silent bool
 		second int32
 	}{{"both report", false, 100_000}, {"one is silent", true, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := movesBesideNode(c.silent)
+			first, second := movesWithSecondNode(c.silent)
 			if first != 100_000 || second != c.second {
 				t.Fatalf("moved %d and then %d ppm, want 100000 and %d", first, second, c.second)
 			}
@@ -91,11 +88,11 @@
 	}
 }
 
-// movesBesideNode returns what two plans move that are a window apart, the
-// second while one of two nodes follows the first or is silent.
-func movesBesideNode(silent bool) (first, second int32) {
+// movesWithSecondNode returns the moves of two plans one window apart, the second
+// while one of two nodes is silent or has applied the first plan.
+func movesWithSecondNode(silent bool) (first, second int32) {
 	p := New()
-	s := situation(start.Add(10 * time.Second))
+	s := plannerInput(start.Add(10 * time.Second))
 	s.Account.Moves.Window = 10 * time.Second
 	s.Previous.Epoch, s.Previous.Sequence = 1, 1
 	s.Reports[0].Report.Flows = []observe.FlowDemand{{Service: "desk", Caller: "seoul", OfferedRPS: 400}}
@@ -104,7 +101,7 @@
 	s.Reports = append(s.Reports, s.Reports[0])
 	s.Reports[1].Report.Node.VM = "vm2"
 	planned := p.Plan(s)
-	first = raised(planned)
+	first = sumIncreases(planned)
 	s.Previous = &plan.Plan{Epoch: 1, Sequence: 2, Flows: planned.Flows}
 	s.Moves = planned.Moves
 	for i := range s.Moves {
@@ -120,11 +117,10 @@
 		}
 		planned = p.Plan(s)
 	}
-	return first, raised(planned)
+	return first, sumIncreases(planned)
 }
 
-// raised sums the share increases.
-func raised(planned decider.PlannerOutput) int32 {
+func sumIncreases(planned decider.PlannerOutput) int32 {
 	sum := int32(0)
 	for _, m := range planned.Moves {
 		sum += max(m.Delta, 0)
