--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -16,123 +16,117 @@
 	"github.com/yuccaroute/yuccaroute/proxy/pool"
 )
 
-// Fields between VMs. They never reach a caller or a target.
+// Header fields between VMs. They never reach a caller or a target.
 const (
-	// fieldVersion is on a delegated request: the version of the configuration by which
-	// the sender matched it.
+	// fieldVersion carries, on a delegated request, the version of the configuration that
+	// the sender matched it with.
 	fieldVersion = "Yucca-Delegated-Version"
-	// fieldTook is on an owner's answer: the milliseconds that it took itself.
-	fieldTook = "Yucca-Delegated-Took-Ms"
-	// fieldDeclined is on the answer of an owner that did not take the request.
+	// fieldOwnerMillis carries, on an owner's answer, the owner's processing time.
+	fieldOwnerMillis = "Yucca-Delegated-Took-Ms"
+	// fieldDeclined is set on the answer of an owner that declines the request.
 	fieldDeclined = "Yucca-Declined"
 )
 
 const (
 	// ownerConnections bounds the connections to one owner.
 	ownerConnections = 64
-	// ownerDelay is the network's within a failure domain, there and back.
-	ownerDelay = 2 * time.Millisecond
+	// ownerRTT is the round-trip time within a failure domain.
+	ownerRTT = 2 * time.Millisecond
 )
 
-// IsDelegated reports whether a request between VMs is one of a caller.
+// IsDelegated reports whether a request on the peer port is a caller's request that another
+// VM delegated.
 func IsDelegated(r *serve.Request) bool { return r.Header.Get(fieldVersion) != "" }
 
-// HandleDelegated handles a request that another VM passed on, as serve.Handler does.
-// It declines a request that was matched by another version of the configuration.
-//
-// Guard against callers of one VM whose requests are decided by several owners: one owner
-// has the new configuration, the next one has not, and the VM seems to go back to the old
-// one. The guard holds because only an owner at the sender's version takes a request; the
-// sender handles all others itself.
+// HandleDelegated implements serve.Handler for requests that other VMs delegate. It declines
+// a request that was matched with another version of the configuration: callers of one VM
+// would otherwise see it alternate between versions, depending on the owner.
 func (g *Gateway) HandleDelegated(ctx context.Context, in *serve.Request) *serve.Response {
 	version, err := strconv.ParseUint(in.Header.Get(fieldVersion), 10, 64)
 	table := g.table.Load()
 	if err != nil || table == nil || table.Version != version || g.leaving.Load() {
-		return declined()
+		return declinedAnswer()
 	}
 	in.Header.Del(fieldVersion)
-	j := &job{in: in, id: in.Header.Get(g.options.Fields.RequestID), forOther: true}
-	end := g.handle(ctx, j, table)
-	g.record(j, end)
+	r := &request{in: in, id: in.Header.Get(g.options.Fields.RequestID), fromPeer: true}
+	end := g.handle(ctx, r, table)
+	g.record(r, end)
 	a := g.answer(end)
 	if a != nil {
 		a.Header[result.HeaderResult] = []string{strconv.Itoa(int(end.code))}
-		a.Header[fieldTook] = []string{strconv.FormatInt(time.Since(in.Arrived).Milliseconds(), 10)}
+		a.Header[fieldOwnerMillis] = []string{strconv.FormatInt(time.Since(in.Arrived).Milliseconds(), 10)}
 	}
 	return a
 }
 
-func declined() *serve.Response {
+func declinedAnswer() *serve.Response {
 	a := serve.PlainText(http.StatusServiceUnavailable, "")
 	a.Header[fieldDeclined] = []string{"1"}
 	return a
 }
 
-// ownerOf returns the VM that decides on a request, nil for this one. Large bodies stay:
-// the links of the VMs are narrow.
-func (g *Gateway) ownerOf(j *job) *owners.Owner {
-	if j.forOther || j.onTrial || !j.ask.HasKey || j.ask.Large || g.options.Owners == nil {
+// ownerOf returns the VM that places a request, nil for this one. Large requests are not
+// delegated, to save the bandwidth of the VMs.
+func (g *Gateway) ownerOf(r *request) *owners.Owner {
+	if r.fromPeer || r.onTrial || !r.placement.HasKey || r.placement.Large || g.options.Owners == nil {
 		return nil
 	}
-	return g.options.Owners.Lookup(j.ask.Key, j.in.Arrived)
+	return g.options.Owners.Lookup(r.placement.Key, r.in.Arrived)
 }
 
-// delegate has the owner of its key decide on a request. It returns false if this VM
-// should do so itself: the request has not run, or may run once more.
-//
-// Guard against an owner that dies or is cut off with the request: callers would wait
-// until their deadline. An owner that is unresponsive ends the wait for requests that may
-// run twice; for others the outcome is unknown, and is told as such.
-func (g *Gateway) delegate(ctx context.Context, j *job, o *owners.Owner) (outcome, bool) {
+// delegate sends a request to the owner of its key. It returns false if this VM should place
+// the request itself: the request has not run, or may run again. Waiting for an owner that
+// becomes unresponsive ends early for idempotent requests only.
+func (g *Gateway) delegate(ctx context.Context, r *request, o *owners.Owner) (outcome, bool) {
 	began := time.Now()
-	answer, err := g.askOwner(ctx, j, o)
+	answer, err := g.sendToOwner(ctx, r, o)
 	took := time.Since(began)
-	g.options.Metrics.RequestDelegated(endOfDelegation(answer, err))
+	g.options.Metrics.RequestDelegated(delegationResult(answer, err))
 	if err != nil {
-		g.options.Logger.WithError(err).WithField("id", j.id).WithField("owner", o.Name).
+		g.options.Logger.WithError(err).WithField("id", r.id).WithField("owner", o.Name).
 			WithField("ms", took.Milliseconds()).Warn("gateway: owner did not answer")
-		return g.ownerFailed(ctx, j, o, err)
+		return g.handleOwnerFailure(ctx, r, o, err)
 	}
 	if answer.Header.Get(fieldDeclined) != "" {
 		return outcome{}, false
 	}
-	j.log.owner, j.log.ownerTook = o.Name, took
-	if own, ok := ownTime(answer); ok {
+	r.log.owner, r.log.ownerDuration = o.Name, took
+	if own, ok := ownerTime(answer); ok {
 		o.RecordOverhead(took-own, time.Now())
 	}
 	return delegatedOutcome(answer), true
 }
 
-// ownerFailed decides what comes of a request whose owner did not answer, as delegate does.
-func (g *Gateway) ownerFailed(ctx context.Context, j *job, o *owners.Owner, err error) (outcome, bool) {
+// handleOwnerFailure decides what to do with a request whose owner did not answer; its results
+// are those of delegate.
+func (g *Gateway) handleOwnerFailure(ctx context.Context, r *request, o *owners.Owner, err error) (outcome, bool) {
 	var failed *forward.Error
 	notSent := !errors.As(err, &failed) || failed.NotRun()
-	j.mayHaveRun = !notSent
+	r.mayHaveRun = !notSent
 	now := time.Now()
 	switch {
 	case ctx.Err() != nil:
-		return g.givenUp(ctx, j), true
-	case !now.Before(j.deadline):
-		// The connection's own deadline may end the wait just before the context does.
-		return timeOver(j), true
+		return g.contextOutcome(ctx, r), true
+	case !now.Before(r.deadline):
+		// The connection's deadline may expire just before the context does.
+		return deadlineOutcome(r), true
 	}
 	o.Avoid(now)
 	if notSent {
 		return outcome{}, false
 	}
-	if j.route.Kind != site.Idempotent || !g.budgetOf(j.service).Take() {
-		return outcome{code: result.ConnectionLost, why: "owner lost"}, true
+	if r.route.Kind != site.Idempotent || !g.budgetOf(r.service).Take() {
+		return outcome{code: result.ConnectionLost, reason: "connection to owner lost"}, true
 	}
-	// The owner may have sent it to a target, so that one more sending is left.
-	j.sent = max(1, j.route.MaxAttempts-1)
+	// The owner may have sent it to a target, so allow one more attempt.
+	r.attempts = max(1, r.route.MaxAttempts-1)
 	return outcome{}, false
 }
 
-// askOwner sends a request to its owner.
-func (g *Gateway) askOwner(ctx context.Context, j *job, o *owners.Owner) (*forward.Answer, error) {
+func (g *Gateway) sendToOwner(ctx context.Context, r *request, o *owners.Owner) (*forward.Answer, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if j.route.Kind == site.Idempotent {
+	if r.route.Kind == site.Idempotent {
 		stop := context.AfterFunc(o.Context(), cancel)
 		defer stop()
 	}
@@ -142,46 +136,46 @@
 		return nil, err
 	}
 	defer p.Put(conn)
-	out := j.out
-	out.Header = j.out.Header.Clone()
-	out.Header.Set(fieldVersion, strconv.FormatUint(j.version, 10))
+	out := r.out
+	out.Header = r.out.Header.Clone()
+	out.Header.Set(fieldVersion, strconv.FormatUint(r.version, 10))
 	return conn.Exchange(ctx, &out)
 }
 
-// ownerPool returns the connections to an owner.
+// ownerPool returns the connection pool of an owner.
 func (g *Gateway) ownerPool(o *owners.Owner) *pool.Pool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.ownerPools[o.PeerAddress]
 	if p == nil {
-		p = pool.New(o.PeerAddress, g.options.Dial(ownerDelay), ownerConnections)
+		p = pool.New(o.PeerAddress, g.options.Dial(ownerRTT), ownerConnections)
 		g.ownerPools[o.PeerAddress] = p
 	}
 	return p
 }
 
-// delegatedOutcome is what an owner's answer says.
+// delegatedOutcome converts an owner's answer to an outcome.
 func delegatedOutcome(a *forward.Answer) outcome {
 	code := result.OK
 	if number, err := strconv.Atoi(a.Header.Get(result.HeaderResult)); err == nil {
 		code = result.Code(number)
 	}
 	if code == result.OK {
-		// The answer is a target's own, with none of the VM's fields.
+		// The answer of a target is passed on without the fields of the VMs.
 		a.Header.Del(result.HeaderResult)
 	}
-	a.Header.Del(fieldTook)
+	a.Header.Del(fieldOwnerMillis)
 	return outcome{code: code, answer: a}
 }
 
-// ownTime is how long an owner took itself for its answer, if it says so.
-func ownTime(a *forward.Answer) (time.Duration, bool) {
-	millis, err := strconv.ParseInt(a.Header.Get(fieldTook), 10, 64)
+// ownerTime returns the owner's processing time, if the answer states it.
+func ownerTime(a *forward.Answer) (time.Duration, bool) {
+	millis, err := strconv.ParseInt(a.Header.Get(fieldOwnerMillis), 10, 64)
 	return time.Duration(millis) * time.Millisecond, err == nil
 }
 
-// endOfDelegation names how a delegation ended, for the counters.
-func endOfDelegation(a *forward.Answer, err error) string {
+// delegationResult returns the metric tag for the end of a delegation.
+func delegationResult(a *forward.Answer, err error) string {
 	switch {
 	case err != nil:
 		return "failed"
--- a/edge/gateway/large_test.go
+++ b/edge/gateway/large_test.go
@@ -9,9 +9,8 @@
 	"github.com/yuccaroute/yuccaroute/edge/site"
 )
 
-// Reports of 90 KB were fetched from another region: each took several round trips and
-// came late, and the bytes between regions were used up by them.
-func TestLargeBodiesAndAnswersStayNear(t *testing.T) {
+// Guards against large bodies and answers that cross regions.
+func TestIsLarge(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		route site.Route
@@ -23,8 +22,8 @@
 		{"upload", site.Route{Upload: true}, "", true},
 		{"long body", site.Route{}, strings.Repeat("x", largeBody+1), true},
 	} {
-		j := &job{in: &serve.Request{Body: []byte(c.body)}, route: &route.Entry{Route: c.route}}
-		if got := isLarge(j); got != c.want {
+		r := &request{in: &serve.Request{Body: []byte(c.body)}, route: &route.Entry{Route: c.route}}
+		if got := isLarge(r); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
--- a/steering/aggregate/places.go
+++ b/steering/aggregate/places.go
@@ -34,7 +34,7 @@
 	for key, c := range cells {
 		state := c.state(key)
 		a.cellRateOf(key).smooth(&state, since)
-		state.Unsteady = state.Usable - a.steadyTargets(key, &state)
+		state.Unstable = state.Usable - a.steadyTargets(key, &state)
 		state.WarmP99 = a.warmLatency(key, &state, increases, since)
 		states = append(states, state)
 	}
@@ -126,7 +126,7 @@
 		SentRPS:      c.sent,
 		Usable:       c.usable,
 		Known:        c.known + c.reportsWithoutTargets*c.maxKnown,
-		Empty:        c.known == 0,
+		NoTargets:    c.known == 0,
 		Age:          time.Duration(c.age.value()),
 	}
 }
--- a/steering/forecast/simulation.go
+++ b/steering/forecast/simulation.go
@@ -31,9 +31,9 @@
 // prepareInput treats the measurements as current and all nodes as up to date, and
 // adds a state for each new place, since it would be measured soon after the change.
 func (s *simulation) prepareInput() {
-	s.in.Behind = nil
+	s.in.Lagging = nil
 	s.initialPlan = s.in.Previous
-	for _, m := range s.in.Moved {
+	for _, m := range s.in.RecentMoves {
 		s.moves = append(s.moves, pastMove{move: m, at: -m.Age})
 	}
 	s.in.Demand = append([]steering.Demand(nil), s.in.Demand...)
@@ -69,12 +69,12 @@
 }
 
 func (s *simulation) step() {
-	retention := steering.MoveMemory * s.in.Account.Moves.Window
-	s.in.Moved = s.in.Moved[:0:0]
+	retention := steering.MoveHistoryWindows * s.in.Account.Moves.Window
+	s.in.RecentMoves = s.in.RecentMoves[:0:0]
 	for _, m := range s.moves {
 		m.move.Age = s.elapsed() - m.at
 		if m.move.Age <= retention {
-			s.in.Moved = append(s.in.Moved, m.move)
+			s.in.RecentMoves = append(s.in.RecentMoves, m.move)
 		}
 	}
 	s.decision = steering.Decide(s.in)
--- a/steering/planner/fleet_cap_test.go
+++ b/steering/planner/fleet_cap_test.go
@@ -188,7 +188,7 @@
 func (f *fleet) moveToUpToDateNode(i int) {
 	for _, j := range f.random.Perm(len(f.nodes)) {
 		n := f.nodes[j]
-		if _, sequence := n.stepper.Reached(); j != i && !n.paused && !n.partitioned && sequence == f.currentPlan.Sequence && f.fits(i, j) {
+		if _, sequence := n.stepper.AppliedVersion(); j != i && !n.paused && !n.partitioned && sequence == f.currentPlan.Sequence && f.fits(i, j) {
 			f.moveCallers(i, j)
 			return
 		}
--- a/steering/planner/lag_tracker.go
+++ b/steering/planner/lag_tracker.go
@@ -86,7 +86,7 @@
 
 // update records the last plan and reports, and returns the charge of each flow
 // for nodes that lag behind the plan.
-func (t *lagTracker) update(s *decider.PlannerInput) []steering.Behind {
+func (t *lagTracker) update(s *decider.PlannerInput) []steering.LaggingShare {
 	window, now := s.Account.Moves.Window, s.Now
 	t.history.add(s.Previous, s.Moves, silentNodeRetention+window, now)
 	rates := sumRates(s.Reports)
@@ -226,7 +226,7 @@
 // charges returns for each flow the distance of every node to the plan in force
 // one window ago, weighted by the node's fraction of the flow. Moves from that
 // plan to the newest one count against the cap anyway.
-func (t *lagTracker) charges(window time.Duration, now time.Time) []steering.Behind {
+func (t *lagTracker) charges(window time.Duration, now time.Time) []steering.LaggingShare {
 	if len(t.history.plans) == 0 {
 		return nil
 	}
@@ -235,12 +235,12 @@
 	if len(lagging) == 0 {
 		return nil
 	}
-	var result []steering.Behind
+	var result []steering.LaggingShare
 	for i := range t.history.plans[ref].flows {
 		f := &t.history.plans[ref].flows[i]
 		key := flowKey{f.Service, f.Caller}
 		if sum := t.charge(key, lagging, ref); sum > 0 {
-			result = append(result, steering.Behind{Service: key.service, Caller: key.caller, PPM: sum})
+			result = append(result, steering.LaggingShare{Service: key.service, Caller: key.caller, PPM: sum})
 		}
 	}
 	return result
--- a/steering/planner/planner.go
+++ b/steering/planner/planner.go
@@ -60,10 +60,10 @@
 
 func (p *Planner) buildInput(s *decider.PlannerInput) steering.Input {
 	in := steering.Input{
-		Account:  s.Account,
-		Now:      s.Now,
-		Previous: s.Previous,
-		Moved:    steeringMoves(s.Moves, s.Now),
+		Account:     s.Account,
+		Now:         s.Now,
+		Previous:    s.Previous,
+		RecentMoves: steeringMoves(s.Moves, s.Now),
 	}
 	reports := make([]aggregate.Report, 0, len(s.Reports))
 	for _, r := range s.Reports {
@@ -72,8 +72,8 @@
 	a := p.account(s.Account.Name, s.Now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	in.Demand, in.Places = a.aggregator.Update(s.Account, reports, in.Moved, s.Now)
-	in.Behind = a.lagTracker.update(s)
+	in.Demand, in.Places = a.aggregator.Update(s.Account, reports, in.RecentMoves, s.Now)
+	in.Lagging = a.lagTracker.update(s)
 	if s.Now.Sub(s.TermStart) < reportGracePeriod {
 		// Not all nodes have reported to the new decider yet, and a partial sum
 		// would make full places look empty. Unknown demand moves nothing.
