--- a/steering/aggregate/aggregator.go
+++ b/steering/aggregate/aggregator.go
@@ -42,9 +42,9 @@
 	flows      map[flowKey]*flowRate
 	cellRates  map[cellKey]*cellRate
 	warmP99    map[cellKey]time.Duration
-	// steadyFractions holds the fraction of each place's targets that counts as
+	// stableFractions holds the fraction of each place's targets that counts as
 	// stable.
-	steadyFractions map[cellKey]*steadyFraction
+	stableFractions map[cellKey]*stableFraction
 }
 
 type flowKey struct {
@@ -63,20 +63,20 @@
 		flows:           make(map[flowKey]*flowRate),
 		cellRates:       make(map[cellKey]*cellRate),
 		warmP99:         make(map[cellKey]time.Duration),
-		steadyFractions: make(map[cellKey]*steadyFraction),
+		stableFractions: make(map[cellKey]*stableFraction),
 	}
 }
 
 // Update adds the last reports of all nodes to the averages and returns the demand
-// and the state of the places at now, sorted. moved holds the recent moves.
-func (a *Aggregator) Update(account *model.Account, reports []Report, moved []steering.Move, now time.Time) ([]steering.Demand, []steering.PlaceState) {
-	since := now.Sub(a.lastUpdate)
+// and the state of the places at now, sorted.
+func (a *Aggregator) Update(account *model.Account, reports []Report, recentMoves []steering.Move, now time.Time) ([]steering.Demand, []steering.PlaceState) {
+	elapsed := now.Sub(a.lastUpdate)
 	if a.lastUpdate.IsZero() {
-		since = math.MaxInt64
+		elapsed = math.MaxInt64
 	}
 	a.lastUpdate = now
-	demand := a.demand(account, reports, since)
-	places := a.placeStates(account, reports, moved, since)
+	demand := a.demand(account, reports, elapsed)
+	places := a.placeStates(account, reports, recentMoves, elapsed)
 	return demand, places
 }
 
@@ -84,7 +84,7 @@
 // since its callers are still there. The age is the mean weighted by rate. A flow
 // that a report leaves out had no requests, which is not the same as unknown
 // demand: that counts as a large part of the capacity.
-func (a *Aggregator) demand(account *model.Account, reports []Report, since time.Duration) []steering.Demand {
+func (a *Aggregator) demand(account *model.Account, reports []Report, elapsed time.Duration) []steering.Demand {
 	if len(reports) == 0 {
 		return nil
 	}
@@ -103,7 +103,7 @@
 		if sum.rps > 0 {
 			d.Age = time.Duration(sum.age.value())
 		}
-		d.RPS, d.Margin = a.flowRateOf(key).add(sum.rps, since)
+		d.RPS, d.Margin = a.flowRateOf(key).add(sum.rps, elapsed)
 		demand = append(demand, d)
 	}
 	a.dropUnknownFlows(sums)
--- a/steering/aggregate/aggregator_test.go
+++ b/steering/aggregate/aggregator_test.go
@@ -96,7 +96,7 @@
 }
 
 // A place with flapping targets counts as failed until its targets have been
-// usable for steadyAfter.
+// usable for stableAfter.
 func TestReturningTargetsCountAfterDelay(t *testing.T) {
 	a := New()
 	usable := func(second, targets int) int {
@@ -196,7 +196,7 @@
 		a.Update(configured, []Report{r}, nil, start.Add(time.Duration(i)*time.Minute))
 	}
 	a.Update(configured, nil, nil, start.Add(101*time.Minute))
-	if len(a.cellRates) != 1 || len(a.warmP99) != 1 || len(a.steadyFractions) != 1 {
-		t.Errorf("kept %d rates, %d warm latencies, %d stable fractions, want 1 each", len(a.cellRates), len(a.warmP99), len(a.steadyFractions))
+	if len(a.cellRates) != 1 || len(a.warmP99) != 1 || len(a.stableFractions) != 1 {
+		t.Errorf("kept %d rates, %d warm latencies, %d stable fractions, want 1 each", len(a.cellRates), len(a.warmP99), len(a.stableFractions))
 	}
 }
--- a/steering/aggregate/cellrate.go
+++ b/steering/aggregate/cellrate.go
@@ -19,8 +19,8 @@
 }
 
 // smooth adds a state to the averages and replaces its values by them.
-func (r *cellRate) smooth(state *steering.PlaceState, since time.Duration) {
-	weight := smoothingWeight(since, smoothingTime)
+func (r *cellRate) smooth(state *steering.PlaceState, elapsed time.Duration) {
+	weight := smoothingWeight(elapsed, smoothingTime)
 	if !r.known {
 		weight = 1
 	}
--- a/steering/aggregate/places.go
+++ b/steering/aggregate/places.go
@@ -24,18 +24,18 @@
 
 // placeStates sums the measurements of the nodes. Targets are summed as well, so
 // that one node that sees all of them down, or up, does not outweigh the others.
-func (a *Aggregator) placeStates(account *model.Account, reports []Report, moved []steering.Move, since time.Duration) []steering.PlaceState {
+func (a *Aggregator) placeStates(account *model.Account, reports []Report, recentMoves []steering.Move, elapsed time.Duration) []steering.PlaceState {
 	cells := make(map[cellKey]*cellSums)
 	for _, r := range freshReports(reports) {
 		addReport(cells, &r)
 	}
-	increases := lastIncreases(moved)
+	increases := lastIncreases(recentMoves)
 	states := make([]steering.PlaceState, 0, len(cells))
 	for key, c := range cells {
 		state := c.state(key)
-		a.cellRateOf(key).smooth(&state, since)
-		state.Unstable = state.Usable - a.steadyTargets(key, &state)
-		state.WarmP99 = a.warmLatency(key, &state, increases, since)
+		a.cellRateOf(key).smooth(&state, elapsed)
+		state.Unstable = state.Usable - a.stableTargets(key, &state)
+		state.WarmP99 = a.warmLatency(key, &state, increases, elapsed)
 		states = append(states, state)
 	}
 	a.dropUnknownCells(account, cells)
@@ -63,7 +63,7 @@
 		if !configured[key] && reported[key] == nil {
 			delete(a.cellRates, key)
 			delete(a.warmP99, key)
-			delete(a.steadyFractions, key)
+			delete(a.stableFractions, key)
 		}
 	}
 }
@@ -138,23 +138,23 @@
 	return a.cellRates[key]
 }
 
-// steadyTargets returns the number of usable targets that count as stable.
-func (a *Aggregator) steadyTargets(key cellKey, state *steering.PlaceState) int {
+// stableTargets returns the number of usable targets that count as stable.
+func (a *Aggregator) stableTargets(key cellKey, state *steering.PlaceState) int {
 	if state.Known == 0 {
 		return 0
 	}
 	fraction := float64(state.Usable) / float64(state.Known)
-	if a.steadyFractions[key] == nil {
-		a.steadyFractions[key] = newSteadyFraction(fraction, a.lastUpdate)
+	if a.stableFractions[key] == nil {
+		a.stableFractions[key] = newStableFraction(fraction, a.lastUpdate)
 	}
-	return int(a.steadyFractions[key].update(fraction, a.lastUpdate)*float64(state.Known) + rounding)
+	return int(a.stableFractions[key].update(fraction, a.lastUpdate)*float64(state.Known) + rounding)
 }
 
 // lastIncreases returns the age of the newest increase of each cell.
-func lastIncreases(moved []steering.Move) map[cellKey]time.Duration {
+func lastIncreases(recentMoves []steering.Move) map[cellKey]time.Duration {
 	ages := make(map[cellKey]time.Duration)
-	for i := range moved {
-		m := &moved[i]
+	for i := range recentMoves {
+		m := &recentMoves[i]
 		key := cellKey{m.Service, m.Place}
 		if age, ok := ages[key]; m.Delta > 0 && (!ok || m.Age < age) {
 			ages[key] = m.Age
@@ -166,7 +166,7 @@
 // warmLatency returns the average latency of a place outside of warm-up after an
 // increase. It also follows a place that becomes permanently slow, so that the
 // place can take more traffic again.
-func (a *Aggregator) warmLatency(key cellKey, state *steering.PlaceState, increases map[cellKey]time.Duration, since time.Duration) time.Duration {
+func (a *Aggregator) warmLatency(key cellKey, state *steering.PlaceState, increases map[cellKey]time.Duration, elapsed time.Duration) time.Duration {
 	age, increased := increases[key]
 	if state.P99 <= 0 || state.Age >= steering.FreezeAge || (increased && age < warmUpTime) {
 		return a.warmP99[key]
@@ -176,7 +176,7 @@
 		a.warmP99[key] = state.P99
 		return state.P99
 	}
-	weight := smoothingWeight(since, warmSmoothingTime)
+	weight := smoothingWeight(elapsed, warmSmoothingTime)
 	a.warmP99[key] = old + time.Duration(weight*float64(state.P99-old))
 	return a.warmP99[key]
 }
--- a/steering/aggregate/rate.go
+++ b/steering/aggregate/rate.go
@@ -12,13 +12,13 @@
 // until a decision takes effect. Each average lags a linear rise by its time
 // constant, so their difference is the growth during the difference of the two
 // constants, about the time for a report, a decision and a step.
-func (r *flowRate) add(rps float64, since time.Duration) (smooth, growth float64) {
+func (r *flowRate) add(rps float64, elapsed time.Duration) (smooth, growth float64) {
 	if !r.known {
 		*r = flowRate{known: true, fast: rps, slow: rps}
 		return rps, 0
 	}
-	r.fast += (rps - r.fast) * smoothingWeight(since, smoothingTime)
-	r.slow += (rps - r.slow) * smoothingWeight(since, trendTime)
+	r.fast += (rps - r.fast) * smoothingWeight(elapsed, smoothingTime)
+	r.slow += (rps - r.slow) * smoothingWeight(elapsed, trendTime)
 	if r.fast <= 0 {
 		return r.fast, 0
 	}
