--- a/steering/scenario/admit_test.go
+++ b/steering/scenario/admit_test.go
@@ -5,9 +5,9 @@
 	"github.com/yuccaroute/yuccaroute/steering"
 )
 
-// admit lets through what the grants permit. They are worth what is usable in
-// a place by the last decision and, for a region and a link, by the
-// configuration; a dead place serves nothing.
+// admit reduces the streams to what the grants permit: the usable rate of a place in
+// the last decision, and the configured capacities of its region and link. A failed
+// place serves nothing.
 func (w *world) admit(streams []stream, limits []steering.Limit, out *result) []stream {
 	usable := make(map[cellName]float64)
 	for _, l := range limits {
@@ -28,9 +28,9 @@
 			factor = 0
 		}
 		out.refused += s.rps * (1 - factor)
-		out.failed += s.rps * factor * c.failing
+		out.failed += s.rps * factor * c.failureShare
 		s.rps *= factor
-		c.sent += s.rps
+		c.sentRPS += s.rps
 		served = append(served, s)
 	}
 	return served
--- a/steering/scenario/baseline_test.go
+++ b/steering/scenario/baseline_test.go
@@ -8,15 +8,15 @@
 	"github.com/yuccaroute/yuccaroute/steering"
 )
 
-// The policies that are compared.
+// Policies under comparison.
 var (
-	ours    = policy{"steering", steering.Decide, true}
-	nearest = policy{"nearest", weighted(nearestOnly), false}
-	static  = policy{"static", weighted(byCapacity), false}
-	greedy  = policy{"greedy", weighted(leastLatency), false}
+	steeringPolicy = policy{"steering", steering.Decide, true}
+	nearest        = policy{"nearest", weighted(nearestOnly), false}
+	static         = policy{"static", weighted(byCapacity), false}
+	greedy         = policy{"greedy", weighted(leastLatency), false}
 )
 
-// weighted makes a policy that gives each live place a weight.
+// weighted returns a policy that splits traffic by a weight of each usable place.
 func weighted(weight func(in *steering.Input, caller model.RegionName, state *steering.PlaceState) float64) func(steering.Input) steering.Decision {
 	return func(in steering.Input) steering.Decision {
 		d := steering.Decision{Plan: &plan.Plan{Account: in.Account.Name, Sequence: in.Sequence}}
@@ -48,17 +48,17 @@
 		weights = append(weights, w)
 		sum += w
 	}
-	left := uint32(plan.Whole)
+	remainder := uint32(plan.Whole)
 	for i, c := range s.Capacity {
 		if weights[i] == 0 {
 			continue
 		}
 		ppm := uint32(weights[i] / sum * plan.Whole)
-		left -= ppm
+		remainder -= ppm
 		shares = append(shares, plan.Share{Place: c.Place, PPM: ppm})
 	}
 	if len(shares) > 0 {
-		shares[0].PPM += left
+		shares[0].PPM += remainder
 	}
 	return sorted(shares)
 }
@@ -81,7 +81,8 @@
 	return shares
 }
 
-// nearestOnly uses the live places of the nearest region that has one.
+// nearestOnly uses the caller's own region, and other regions only if it has no
+// usable place.
 func nearestOnly(in *steering.Input, caller model.RegionName, state *steering.PlaceState) float64 {
 	home := in.Account.RegionOf(state.Place) == caller
 	if home {
@@ -96,13 +97,13 @@
 	return 1
 }
 
-// byCapacity ignores distance and load.
+// byCapacity ignores latency and load.
 func byCapacity(in *steering.Input, _ model.RegionName, state *steering.PlaceState) float64 {
 	return in.Account.Service(state.Service).CapacityAt(state.Place)
 }
 
-// leastLatency follows the latest measurement at once, without caps: the
-// weight falls with the square of the expected latency.
+// leastLatency weighs places by the inverse square of the expected latency, without
+// a move cap.
 func leastLatency(in *steering.Input, caller model.RegionName, state *steering.PlaceState) float64 {
 	ms := 8.0
 	if state.P99 > 0 {
--- a/steering/scenario/loop_test.go
+++ b/steering/scenario/loop_test.go
@@ -1,6 +1,6 @@
-// Package scenario runs steering in a small closed loop: a scripted load, a
-// latency that depends on the load and on cold caches, measurements that lag,
-// and nodes that step towards the plan. It has no network and no processes.
+// Package scenario tests steering in a simulated closed loop with scripted load,
+// latency that depends on load and cold caches, delayed measurements, and nodes that
+// step towards the plan. It uses no network and no processes.
 package scenario
 
 import (
@@ -12,28 +12,28 @@
 	"github.com/yuccaroute/yuccaroute/steering/step"
 )
 
-// policy is the one under test or a baseline.
+// policy is steering or a baseline that it is compared with.
 type policy struct {
 	name   string
 	decide func(steering.Input) steering.Decision
-	// capped tells that nodes step under the move cap.
+	// capped is whether nodes apply the move cap.
 	capped bool
 }
 
-// script changes the world at each second.
+// script describes the events of a run.
 type script struct {
 	name    string
 	seconds int
-	// at runs at the begin of each second.
-	at func(w *world, second int)
-	// drains are put into the account.
+	// beforeSecond runs at the start of each second.
+	beforeSecond func(w *world, second int)
+	// drains returns the drains to configure in the account.
 	drains func(start time.Time, a *model.Account) []model.Drain
-	// faultAt is the second from which on recovery is counted, 0 for none.
-	faultAt int
+	// faultSecond is when the measurement of the recovery time starts, 0 for none.
+	faultSecond int
 }
 
-// run plays a script with a policy.
-func run(t *tenant, sc script, p policy) result {
+// run simulates a script with a policy.
+func run(t *accountSpec, sc script, p policy) result {
 	w := newWorld(t)
 	if sc.drains != nil {
 		w.account.Drains = sc.drains(w.start, w.account)
@@ -42,12 +42,12 @@
 	out := newResult(sc, p)
 	var previous *plan.Plan
 	for second := range sc.seconds {
-		if sc.at != nil {
-			sc.at(w, second)
+		if sc.beforeSecond != nil {
+			sc.beforeSecond(w, second)
 		}
-		w.stopDrained()
+		w.applyDrains()
 		d := p.decide(w.input(previous, uint64(second+1)))
-		w.record(d.Moves)
+		w.recordMoves(d.Moves)
 		previous = d.Plan
 		out.checkPlan(w, d)
 		w.serveSecond(nodes, d, out, second)
@@ -58,7 +58,7 @@
 	return *out
 }
 
-// nodes holds one node in each region; a node takes the callers of its own.
+// nodes holds one node for each region, which serves the callers of that region.
 type nodes struct {
 	steppers []*step.Stepper
 	last     []*plan.Plan
@@ -78,7 +78,7 @@
 	return n
 }
 
-// stream is one flow's traffic to one place in a second.
+// stream is the traffic of one flow to one place in one second.
 type stream struct {
 	flow   flowName
 	place  model.PlaceName
@@ -86,16 +86,16 @@
 	rps    float64
 }
 
-// serveSecond sends a second of traffic by the nodes' effective shares.
+// serveSecond sends one second of traffic by the nodes' effective shares.
 func (w *world) serveSecond(n *nodes, d steering.Decision, out *result, second int) {
 	for _, c := range w.cells {
-		c.sent = 0
+		c.sentRPS = 0
 	}
 	var streams []stream
 	moved := 0.0
 	for i, region := range w.account.Regions {
 		effective := n.last[i]
-		if w.paused != i || effective == nil {
+		if w.pausedNode != i || effective == nil {
 			effective, _ = n.steppers[i].Advance(d.Plan)
 		}
 		for _, f := range effective.Flows {
@@ -103,7 +103,7 @@
 				continue
 			}
 			demand := w.demand[flowName{f.Service, f.Caller}]
-			moved += demand * increases(n.last[i], &f)
+			moved += demand * shareIncreases(n.last[i], &f)
 			for _, share := range f.Shares {
 				rps := demand * float64(share.PPM) / plan.Whole
 				streams = append(streams, stream{flowName{f.Service, f.Caller}, share.Place, w.account.RegionOf(share.Place), rps})
@@ -113,12 +113,12 @@
 	}
 	served := w.admit(streams, d.Limits, out)
 	for name, c := range w.cells {
-		c.serve(w.tenant.capacity[name.service]*c.usable, w.tenant.serviceLatencyMS)
+		c.serve(w.spec.placeRPS[name.service]*c.usable, w.spec.serviceLatencyMS)
 	}
-	out.note(w, served, moved, second)
+	out.recordSecond(w, served, moved, second)
 }
 
-func increases(before *plan.Plan, after *plan.Flow) float64 {
+func shareIncreases(before *plan.Plan, after *plan.Flow) float64 {
 	if before == nil {
 		return 0
 	}
@@ -128,14 +128,14 @@
 	}
 	sum := 0.0
 	for _, s := range after.Shares {
-		was := uint32(0)
+		oldPPM := uint32(0)
 		for _, o := range old.Shares {
 			if o.Place == s.Place {
-				was = o.PPM
+				oldPPM = o.PPM
 			}
 		}
-		if s.PPM > was {
-			sum += float64(s.PPM - was)
+		if s.PPM > oldPPM {
+			sum += float64(s.PPM - oldPPM)
 		}
 	}
 	return sum / plan.Whole
--- a/steering/scenario/scenario_test.go
+++ b/steering/scenario/scenario_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// bound is what a script may come to at worst, for both accounts. It is a
-// little above what was measured, so that a change for the worse shows.
+// bound holds the worst permitted result of a script for both accounts. The bounds
+// are tight, so that regressions show.
 type bound struct {
-	// lost is the part of the requests refused or failed.
+	// lost is the fraction of requests refused or failed.
 	lost float64
-	// recovery is in seconds.
+	// recovery is the recovery time in seconds.
 	recovery int
-	// headroom is the least part left free at the worst moment.
+	// headroom is the lowest free fraction of any capacity.
 	headroom float64
 }
 
@@ -33,21 +33,19 @@
 	"stale":         {0, 0, 0.35},
 }
 
-// Whatever happens, alone or two things at once, and whichever decider is in
-// office: no plan asks more than a capacity, no window moves more than the cap,
-// and callers lose no more than the bounds say. -v prints the figures, those
-// of the baselines too.
+// In every scenario no plan exceeds a capacity, no window exceeds the move cap, and
+// the result stays within its bound. -v also prints the results of the baselines.
 func TestScenarios(t *testing.T) {
-	for _, tenant := range []*tenant{&daehan, &alpenvlies} {
+	for _, spec := range []*accountSpec{&daehan, &alpenvlies} {
 		for _, sc := range scripts {
-			t.Run(string(tenant.name)+"/"+sc.name, func(t *testing.T) {
+			t.Run(string(spec.name)+"/"+sc.name, func(t *testing.T) {
 				t.Parallel()
-				r := run(tenant, sc, ours)
+				r := run(spec, sc, steeringPolicy)
 				t.Log(r.String())
 				r.require(t, bounds[sc.name])
 				if testing.Verbose() {
 					for _, p := range []policy{nearest, static, greedy} {
-						other := run(tenant, sc, p)
+						other := run(spec, sc, p)
 						t.Log(other.String())
 					}
 				}
@@ -58,31 +56,30 @@
 
 func (r *result) require(t *testing.T, b bound) {
 	const rounding = 1e-6
-	if r.peak > 1+rounding {
-		t.Errorf("a plan asks %.4f of a capacity", r.peak)
+	if r.peakUtilization > 1+rounding {
+		t.Errorf("a plan uses %.4f of a capacity", r.peakUtilization)
 	}
-	if r.movedMost > r.cap+rounding {
-		t.Errorf("%.4f moved in a window, the cap is %.4f", r.movedMost, r.cap)
+	if r.maxMoved > r.moveCap+rounding {
+		t.Errorf("%.4f moved in a window, the cap is %.4f", r.maxMoved, r.moveCap)
 	}
 	if lost := (r.refused + r.failed) / r.offered; lost > b.lost {
 		t.Errorf("%.4f of the requests lost, bound %.4f", lost, b.lost)
 	}
-	if r.recovered < 0 || r.recovered > b.recovery {
-		t.Errorf("recovery took %d s, bound %d s", r.recovered, b.recovery)
+	if r.recoverySeconds < 0 || r.recoverySeconds > b.recovery {
+		t.Errorf("recovery took %d s, bound %d s", r.recoverySeconds, b.recovery)
 	}
 	if r.headroom < b.headroom-rounding {
-		t.Errorf("headroom fell to %.3f, bound %.3f", r.headroom, b.headroom)
+		t.Errorf("lowest headroom %.3f, bound %.3f", r.headroom, b.headroom)
 	}
 }
 
-// slack is what seeing a failure, whole seconds and a last rest may add to the
-// least time, in seconds.
-const slack = 6
+// recoverySlack is the time in seconds that failure detection and rounding may add to
+// the minimum recovery time.
+const recoverySlack = 6
 
-// The cap alone sets the time in which refusals end after a failure: a flow
-// with a part in places that are lost needs (part / cap - 1) windows. A decision
-// that spends the cap on other moves first, or not at once, shows here. At larger
-// caps the steps of cold places are slower than the cap.
+// Only the move cap may limit the recovery time: a flow with a given part in failed
+// places needs (part / cap - 1) windows. Larger caps are left out because the steps of
+// cold places are slower than the cap there.
 func TestCapSetsTheTimeOfRecovery(t *testing.T) {
 	parts := map[string]float64{"domain-lost": 0.5, "region-lost": 1}
 	for _, sc := range scripts {
@@ -93,19 +90,18 @@
 		for _, share := range []float64{0.1, 0.15, 0.2, 0.3} {
 			changed := daehan
 			changed.moveCap = share
-			r := run(&changed, sc, ours)
-			least := (int(math.Ceil(part/share-1e-9)) - 1) * r.window
+			r := run(&changed, sc, steeringPolicy)
+			minimum := (int(math.Ceil(part/share-1e-9)) - 1) * r.window
 			t.Logf("cap %.2f: %s", share, r.String())
-			if r.movedMost > share || r.recovered > least+least/r.window+slack {
-				t.Errorf("%s at cap %.2f: %.3f moved, recovered after %d s, least %d s", sc.name, share, r.movedMost, r.recovered, least)
+			if r.maxMoved > share || r.recoverySeconds > minimum+minimum/r.window+recoverySlack {
+				t.Errorf("%s at cap %.2f: %.3f moved, recovered after %d s, minimum %d s", sc.name, share, r.maxMoved, r.recoverySeconds, minimum)
 			}
 		}
 	}
 }
 
-// Compared with the baselines on the same scripts: far sooner answers than by
-// static weights, fewer requests lost in a rush than with any of them, and the
-// only one that keeps to the cap.
+// Steering must have a lower latency than static weights and fewer refusals in a rush
+// than nearest and greedy, and unlike all baselines it keeps the move cap.
 func TestBetterThanBaselines(t *testing.T) {
 	find := func(name string) script {
 		for _, sc := range scripts {
@@ -116,21 +112,21 @@
 		t.Fatalf("no script %s", name)
 		return script{}
 	}
-	for _, tenant := range []*tenant{&daehan, &alpenvlies} {
-		steady, fixed := run(tenant, find("steady"), ours), run(tenant, find("steady"), static)
-		if ratio := steady.p(50) / fixed.p(50); ratio > 0.3 {
-			t.Errorf("%s: p50 is %.2f of that of static weights", tenant.name, ratio)
+	for _, spec := range []*accountSpec{&daehan, &alpenvlies} {
+		steady, fixed := run(spec, find("steady"), steeringPolicy), run(spec, find("steady"), static)
+		if ratio := steady.latencyMS(50) / fixed.latencyMS(50); ratio > 0.3 {
+			t.Errorf("%s: p50 is %.2f of the p50 of static weights", spec.name, ratio)
 		}
-		dawn := run(tenant, find("dawn"), ours)
+		rush := run(spec, find("dawn"), steeringPolicy)
 		for _, p := range []policy{nearest, greedy} {
-			other := run(tenant, find("dawn"), p)
-			if dawn.refused >= other.refused/100 {
-				t.Errorf("%s: refuses %.0f in a rush, %s %.0f", tenant.name, dawn.refused, p.name, other.refused)
+			other := run(spec, find("dawn"), p)
+			if rush.refused >= other.refused/100 {
+				t.Errorf("%s: %.0f requests refused in a rush, %.0f by policy %s", spec.name, rush.refused, other.refused, p.name)
 			}
 		}
 		for _, p := range []policy{nearest, static, greedy} {
-			if other := run(tenant, find("region-lost"), p); other.movedMost < 3*other.cap {
-				t.Errorf("%s: %s moves %.3f in a window", tenant.name, p.name, other.movedMost)
+			if other := run(spec, find("region-lost"), p); other.maxMoved < 3*other.moveCap {
+				t.Errorf("%s: policy %s moves only %.3f in a window", spec.name, p.name, other.maxMoved)
 			}
 		}
 	}
--- a/steering/scenario/world_test.go
+++ b/steering/scenario/world_test.go
@@ -23,51 +23,51 @@
 
 // cellState is the true state of one service in one place.
 type cellState struct {
-	// usable is the part of the targets that work, 0 to 1; failing is the part
-	// of the requests that fail, which probes do not see.
-	usable, failing float64
-	// sent is the rate of the last second; warm is the rate the caches hold.
-	sent, warm float64
-	latencyMS  float64
-	p99MS      float64
+	// usable is the fraction of targets that work, 0 to 1. failureShare is the
+	// fraction of requests that fail, which health checks do not detect.
+	usable, failureShare float64
+	// sentRPS is the rate of the last second, warmRPS the rate with warm caches.
+	sentRPS, warmRPS float64
+	latencyMS        float64
+	p99MS            float64
 }
 
-// world is the model of everything outside steering.
+// world simulates everything outside of steering.
 type world struct {
-	tenant   *tenant
-	account  *model.Account
-	start    time.Time
-	now      time.Time
-	demand   map[flowName]float64
-	cells    map[cellName]*cellState
-	reported []report // newest last
-	// silent stops reports.
-	silent bool
-	// paused is the index of a node that applies no plan, -1 for none.
-	paused int
-	// lag is how old a report is when it arrives, in seconds.
-	lag        int
-	moved      []steering.Move
-	made       []time.Time
-	aggregator *aggregate.Aggregator
-}
-
-// report is what all nodes measured in one second.
+	spec    *accountSpec
+	account *model.Account
+	start   time.Time
+	now     time.Time
+	demand  map[flowName]float64
+	cells   map[cellName]*cellState
+	reports []report // newest last
+	// reportsStopped is whether nodes have stopped reporting.
+	reportsStopped bool
+	// pausedNode is the index of a node that applies no plan, -1 for none.
+	pausedNode int
+	// reportDelay is the age of a report when it arrives, in seconds.
+	reportDelay int
+	moves       []steering.Move
+	moveTimes   []time.Time
+	aggregator  *aggregate.Aggregator
+}
+
+// report holds the measurements of all nodes in one second.
 type report struct {
 	at time.Time
 	observe.Report
 }
 
-func newWorld(t *tenant) *world {
+func newWorld(t *accountSpec) *world {
 	w := &world{
-		tenant:     t,
-		account:    t.account(),
-		start:      time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC),
-		demand:     make(map[flowName]float64),
-		cells:      make(map[cellName]*cellState),
-		lag:        3,
-		paused:     -1,
-		aggregator: aggregate.New(),
+		spec:        t,
+		account:     t.account(),
+		start:       time.Date(2026, 3, 1, 4, 0, 0, 0, time.UTC),
+		demand:      make(map[flowName]float64),
+		cells:       make(map[cellName]*cellState),
+		reportDelay: 3,
+		pausedNode:  -1,
+		aggregator:  aggregate.New(),
 	}
 	w.now = w.start
 	for _, s := range w.account.Services {
@@ -75,20 +75,20 @@
 			w.cells[cellName{s.Name, p.Name}] = &cellState{usable: 1}
 		}
 	}
-	w.load(0.45)
+	w.setDemand(0.45)
 	return w
 }
 
-// load sets every flow to a part of its own region's capacity.
-func (w *world) load(part float64) {
+// setDemand sets every flow to a fraction of its own region's capacity.
+func (w *world) setDemand(part float64) {
 	for _, s := range w.account.Services {
 		for _, r := range w.account.Regions {
-			w.demand[flowName{s.Name, r.Name}] = part * 2 * w.tenant.capacity[s.Name]
+			w.demand[flowName{s.Name, r.Name}] = part * 2 * w.spec.placeRPS[s.Name]
 		}
 	}
 }
 
-// setPlace sets the part of the targets that work in a place.
+// setPlace sets the fraction of the targets that work in a place.
 func (w *world) setPlace(place model.PlaceName, usable float64) {
 	for name, c := range w.cells {
 		if name.place == place {
@@ -97,35 +97,35 @@
 	}
 }
 
-// coldFactor is how much slower a request is that misses the caches.
+// coldFactor is the relative latency of a request that misses the caches.
 const coldFactor = 4
 
-// serve puts a second of load on a cell.
+// serve updates latencies and caches after one second of load.
 func (c *cellState) serve(capacity, baseMS float64) {
 	utilisation := 0.99
 	if capacity > 0 {
-		utilisation = min(0.99, c.sent/capacity)
+		utilisation = min(0.99, c.sentRPS/capacity)
 	}
 	c.latencyMS = baseMS * (1 + math.Pow(utilisation, 6)/(1-utilisation)/4)
-	cold := c.coldPart()
+	cold := c.coldFraction()
 	c.p99MS = 2 * c.latencyMS
 	if cold > 0.01 {
 		c.p99MS = 2 * c.latencyMS * (1 + (coldFactor-1)*min(1, cold*4))
 	}
-	// Caches hold a tenth more of what they miss after each second.
-	c.warm += (c.sent - c.warm) * 0.1
+	// Each second the caches warm up for 10 % of the cold rate.
+	c.warmRPS += (c.sentRPS - c.warmRPS) * 0.1
 }
 
-func (c *cellState) coldPart() float64 {
-	if c.sent <= 0 {
+func (c *cellState) coldFraction() float64 {
+	if c.sentRPS <= 0 {
 		return 0
 	}
-	return max(0, c.sent-c.warm) / c.sent
+	return max(0, c.sentRPS-c.warmRPS) / c.sentRPS
 }
 
-// observe makes the report of this second, from what nodes see.
+// observe adds the report of this second.
 func (w *world) observe() {
-	if w.silent {
+	if w.reportsStopped {
 		return
 	}
 	r := report{at: w.now}
@@ -138,7 +138,7 @@
 			r.Places = append(r.Places, w.loadOf(cellName{s.Name, p.Name}))
 		}
 	}
-	w.reported = append(w.reported, r)
+	w.reports = append(w.reports, r)
 }
 
 func (w *world) loadOf(name cellName) observe.PlaceLoad {
@@ -147,30 +147,30 @@
 	load := observe.PlaceLoad{
 		Service: name.service,
 		Place:   name.place,
-		SentRPS: c.sent,
+		SentRPS: c.sentRPS,
 		Targets: int(math.Round(c.usable * known)),
 		Known:   known,
 	}
-	if c.sent > 0 {
+	if c.sentRPS > 0 {
 		load.P50 = fromMS(c.latencyMS)
 		load.P99 = fromMS(c.p99MS)
-		load.FailureShare = c.failing
+		load.FailureShare = c.failureShare
 	}
 	return load
 }
 
 func fromMS(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// input is what the decider knows now.
+// input returns what the decider knows now.
 func (w *world) input(previous *plan.Plan, sequence uint64) steering.Input {
 	in := steering.Input{Account: w.account, Now: w.now, Previous: previous, Epoch: 1, Sequence: sequence}
-	for i, m := range w.moved {
-		m.Age = w.now.Sub(w.made[i])
+	for i, m := range w.moves {
+		m.Age = w.now.Sub(w.moveTimes[i])
 		if m.Age <= steering.MoveHistoryWindows*w.account.Moves.Window {
 			in.RecentMoves = append(in.RecentMoves, m)
 		}
 	}
-	newest := w.newest()
+	newest := w.newestReport()
 	if newest == nil {
 		return in
 	}
@@ -179,26 +179,26 @@
 	return in
 }
 
-// newest returns the last report that has arrived by now.
-func (w *world) newest() *report {
-	for i := len(w.reported) - 1; i >= 0; i-- {
-		if w.now.Sub(w.reported[i].at) >= time.Duration(w.lag)*time.Second {
-			return &w.reported[i]
+// newestReport returns the newest report that has arrived by now.
+func (w *world) newestReport() *report {
+	for i := len(w.reports) - 1; i >= 0; i-- {
+		if w.now.Sub(w.reports[i].at) >= time.Duration(w.reportDelay)*time.Second {
+			return &w.reports[i]
 		}
 	}
 	return nil
 }
 
-func (w *world) record(moves []steering.Move) {
+func (w *world) recordMoves(moves []steering.Move) {
 	for _, m := range moves {
-		w.moved = append(w.moved, m)
-		w.made = append(w.made, w.now)
+		w.moves = append(w.moves, m)
+		w.moveTimes = append(w.moveTimes, w.now)
 	}
 }
 
-// stopDrained stops the targets of a place when its drain ends, and starts
-// them when it is over.
-func (w *world) stopDrained() {
+// applyDrains stops the targets of a place at the end of its drain and restarts them
+// afterwards.
+func (w *world) applyDrains() {
 	for _, d := range w.account.Drains {
 		if w.now.Equal(d.End) {
 			w.setPlace(d.Place, 0)
@@ -209,11 +209,11 @@
 	}
 }
 
-// takeover lets another decider take over: it counts every move as made now
-// and knows no measurement but the newest.
+// takeover changes the decider. The new one counts every move as made now and has no
+// averages of earlier measurements.
 func (w *world) takeover() {
-	for i := range w.made {
-		w.made[i] = w.now
+	for i := range w.moveTimes {
+		w.moveTimes[i] = w.now
 	}
 	w.aggregator = aggregate.New()
 }
