--- a/steering/aggregate/aggregator_test.go
+++ b/steering/aggregate/aggregator_test.go
@@ -115,7 +115,7 @@
 	}
 	usable(205, 3)
 	if usable(208, 4) != 0 || usable(209, 4) != 3 {
-		t.Fatal("targets usable for 30 s do not count as stable")
+		t.Fatal("lasting targets do not count as stable")
 	}
 }
 
@@ -128,13 +128,13 @@
 		smooth, growth = r.add(500+10*float64(second), time.Second)
 	}
 	if ahead := smooth * (1 + growth); ahead < 1490 || ahead > 1600 {
-		t.Fatalf("expected demand %.0f requests/s, want 1490 to 1600", ahead)
+		t.Fatalf("expected demand %.0f requests/s, was 1490 and grows by 10 per second", ahead)
 	}
 	for second := range 300 {
 		noise := float64((second*7)%11-5) / 5 * 0.1
 		_, growth = r.add(1000*(1+noise), time.Second)
 		if second > 100 && growth > 0 {
-			t.Fatalf("10 %% noise has a margin of %.3f", growth)
+			t.Fatalf("noise has a margin of %.3f", growth)
 		}
 	}
 	if _, growth = r.add(10, time.Second); growth != 0 {
@@ -197,6 +197,6 @@
 	}
 	a.Update(configured, nil, nil, start.Add(101*time.Minute))
 	if len(a.cellRates) != 1 || len(a.warmP99) != 1 || len(a.stableFractions) != 1 {
-		t.Errorf("kept %d rates, %d warm latencies, %d stable fractions, want 1 each", len(a.cellRates), len(a.warmP99), len(a.stableFractions))
+		t.Errorf("kept %d rates, %d warm latencies, %d stable fractions of one place", len(a.cellRates), len(a.warmP99), len(a.stableFractions))
 	}
 }
