--- a/bench/scenario/store_http.go
+++ b/bench/scenario/store_http.go
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	defer func() { _ = server.Stop() }()
-	kv, err := kvclient.New(kvclient.Options{Address: server.Addr(), Idle: p.Workers})
+	kv, err := kvclient.New(kvclient.Options{Address: server.Addr(), MaxIdleConns: p.Workers})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/yuccaentry/main.go
+++ b/cmd/yuccaentry/main.go
@@ -87,7 +87,7 @@
 	logger := logs.New(os.Stdout)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	client, err := kvclient.New(kvclient.Options{Address: s.Store.Address, Wait: watchTimeout})
+	client, err := kvclient.New(kvclient.Options{Address: s.Store.Address, WatchWait: watchTimeout})
 	if err != nil {
 		return program.Exit(program.ExitUsage, err)
 	}
@@ -118,7 +118,7 @@
 }
 
 func newOptions(s *platform.Settings, client store.KV, memory int64, metricsPort int, logger *logrus.Logger) entry.Options {
-	items := platform.Items{}
+	items := platform.Codec{}
 	peer := fmt.Sprintf("%s:%d", s.Node.IP, s.Ports.First)
 	metrics := ""
 	if metricsPort > 0 {
@@ -132,8 +132,8 @@
 		EntryAddress: s.Listen.Entry, ReadyAddress: s.Listen.Ready, DirectoryAddress: s.Listen.Directory,
 		PeerAddress: peer, MetricsAddress: metrics, RegionOf: s.Zones,
 		Names: entry.Names{
-			Fields: platform.Fields, ResolvePath: platform.PathResolve, ReadyPath: platform.PathReady,
-			VMKey: items.VMKey(s.Node.Name), ParseCaller: platform.Caller, EncodeAddresses: platform.Resolved,
+			Fields: platform.HeaderNames, ResolvePath: platform.PathResolve, ReadyPath: platform.PathReady,
+			VMKey: items.VMKey(s.Node.Name), ParseCaller: platform.ParseCaller, EncodeAddresses: platform.EncodeAddresses,
 		},
 		Codec: items, QuarantineKeys: items, KV: client, Logger: logger,
 		MemoryBytes: memory, MaxConnections: max(64, s.Limits.MaxFiles-targetFiles),
--- a/edge/catalog/catalog_test.go
+++ b/edge/catalog/catalog_test.go
@@ -26,7 +26,7 @@
 	var changes []replica.Change
 	for i := range 300 {
 		entry := store.Entry{Key: fmt.Sprintf("target/%d", i), Value: []byte("ready"), Revision: store.Revision(i + 1)}
-		changes = append(changes, replica.Change{Entry: entry, Listed: true})
+		changes = append(changes, replica.Change{Entry: entry, FromSnapshot: true})
 	}
 	changes[7].Entry.Value = []byte("draining")
 	f.Apply(changes)
@@ -95,7 +95,7 @@
 
 func (f *fixture) remove(key string, listed bool) {
 	f.revision++
-	f.Apply([]replica.Change{{Entry: store.Entry{Key: key, Revision: f.revision}, Removed: true, Listed: listed}})
+	f.Apply([]replica.Change{{Entry: store.Entry{Key: key, Revision: f.revision}, Removed: true, FromSnapshot: listed}})
 }
 
 func (f *fixture) targets() (ids []string) {
--- a/edge/catalog/target.go
+++ b/edge/catalog/target.go
@@ -94,7 +94,7 @@
 	if !known {
 		return
 	}
-	if !change.Listed || t.Draining {
+	if !change.FromSnapshot || t.Draining {
 		delete(c.targets, change.Entry.Key)
 		c.changes.add(changeRemoved, t.ID)
 		return
--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -97,10 +97,10 @@
 	})
 	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.component("catalog"), Changed: e.setView, Now: time.Now})
 	e.replica = replica.New(replica.Options{
-		KV: o.KV, Logger: e.component("replica"), Prefix: o.Names.WatchPrefix, Changed: e.applyChanges, FetchFrom: fetchSnapshot,
-		Watches: func() bool { return e.members.ShouldWatch(time.Now()) },
-		Leads:   func() bool { return e.members.IsWatchLeader(time.Now()) },
-		First:   func() bool { return e.members.IsDefaultWatcher(time.Now()) },
+		KV: o.KV, Logger: e.component("replica"), Prefix: o.Names.WatchPrefix, Changed: e.applyChanges, FetchSnapshot: fetchSnapshot,
+		ShouldWatch:      func() bool { return e.members.ShouldWatch(time.Now()) },
+		IsWatchLeader:    func() bool { return e.members.IsWatchLeader(time.Now()) },
+		IsDefaultWatcher: func() bool { return e.members.IsDefaultWatcher(time.Now()) },
 	})
 	e.snapshots = &snapshots{replica: e.replica, log: e.component("replica")}
 	if err := e.listen(ctx); err != nil {
@@ -214,8 +214,8 @@
 // watchRegistration registers again when the store's list lacks this VM.
 func (e *Entry) watchRegistration(ctx context.Context, reg *registry.Registry) {
 	for wait.For(ctx, registry.TTL) {
-		if _, loaded := e.replica.At(); loaded && !e.isRegistered() {
-			reg.Missing()
+		if _, loaded := e.replica.Revision(); loaded && !e.isRegistered() {
+			reg.ReportMissing()
 		}
 	}
 }
--- a/edge/entry/exchange.go
+++ b/edge/entry/exchange.go
@@ -45,7 +45,7 @@
 
 // relayTo returns the VMs to which this one forwards a digest.
 func (e *Entry) relayTo() ([]exchange.Peer, exchange.Relay) {
-	at, _ := e.replica.At()
+	at, _ := e.replica.Revision()
 	via := exchange.Relay{Peer: e.options.VM.PeerAddress, Revision: uint64(at)}
 	return peersOf(e.members.Topology(time.Now()).SameDomain, e.options.VM.Name), via
 }
@@ -63,9 +63,9 @@
 // state returns the report on this VM, or the aggregated one on its region.
 func (e *Entry) state(sum bool) exchange.State {
 	now := time.Now()
-	at, _ := e.replica.At()
+	at, _ := e.replica.Revision()
 	s := exchange.State{
-		VM: e.options.VM, Leaving: e.shuttingDown.Load(), Serving: e.gateway.Ready(), StoreConnected: e.replica.Linked(),
+		VM: e.options.VM, Leaving: e.shuttingDown.Load(), Serving: e.gateway.Ready(), StoreConnected: e.replica.Connected(),
 		Revision: uint64(at), NoDigest: e.digests.Missing(now),
 		// Aggregated reports go to other regions, which already know their own events.
 		Events: e.quarantine.PendingEvents(now, !sum),
--- a/edge/entry/snapshots.go
+++ b/edge/entry/snapshots.go
@@ -67,12 +67,12 @@
 }
 
 func (c *snapshots) encode(after store.Revision) (encodedSnapshot, error) {
-	if c.replica.Remembers(after) {
+	if c.replica.HasChangesAfter(after) {
 		return encodeSnapshot(c.replica.SnapshotAfter(after))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at, _ := c.replica.At(); at == c.at && c.full.data != nil {
+	if at, _ := c.replica.Revision(); at == c.at && c.full.data != nil {
 		return c.full, nil
 	}
 	snapshot := c.replica.SnapshotAfter(0)
--- a/edge/entry/snapshots_test.go
+++ b/edge/entry/snapshots_test.go
@@ -30,7 +30,7 @@
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	m := replica.New(replica.Options{Logger: logrus.NewEntry(l), Changed: func([]replica.Change) {}})
-	m.Adopt(replica.Snapshot{At: at, Items: entries})
+	m.ApplySnapshot(replica.Snapshot{At: at, Items: entries})
 	return &snapshots{replica: m, log: logrus.NewEntry(l)}
 }
 
@@ -58,7 +58,7 @@
 	if diff := cmp.Diff(replica.Snapshot{At: 5000, Items: entries}, got); diff != "" {
 		t.Error(diff)
 	}
-	c.replica.Adopt(replica.Snapshot{At: 5001, After: 5000, Partial: true, Removed: []store.Entry{{Key: entries[0].Key, Revision: 5001}}})
+	c.replica.ApplySnapshot(replica.Snapshot{At: 5001, After: 5000, Partial: true, Removed: []store.Entry{{Key: entries[0].Key, Revision: 5001}}})
 	third, err := c.encode(0)
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 func TestPartialSnapshotRoundTrip(t *testing.T) {
 	c := newSnapshots(items(3000), 5000)
 	changed := store.Entry{Key: "config", Revision: 5001, Value: []byte(`{"version":2}`)}
-	c.replica.Adopt(replica.Snapshot{At: 5001, After: 5000, Partial: true, Items: []store.Entry{changed}})
+	c.replica.ApplySnapshot(replica.Snapshot{At: 5001, After: 5000, Partial: true, Items: []store.Entry{changed}})
 	r, err := c.encode(5000)
 	if err != nil {
 		t.Fatal(err)
--- a/edge/registry/registry.go
+++ b/edge/registry/registry.go
@@ -32,17 +32,17 @@
 	retryLast  = 2 * time.Second
 )
 
-// Duty is whether a VM watches the store for others of its region.
-type Duty interface {
+// StoreWatcher is the store watch of this VM, whose changes other VMs of its region copy.
+type StoreWatcher interface {
 	// Watching reports whether it does now.
 	Watching() bool
-	// Unanswered tells that the store does not answer this VM.
-	Unanswered()
+	// CancelWatch ends a watch that is under way: the store does not answer this VM.
+	CancelWatch()
 }
 
 // Registry lists one VM.
 type Registry struct {
-	duty  Duty
+	duty  StoreWatcher
 	kv    store.KV
 	key   string
 	value []byte
@@ -53,7 +53,7 @@
 }
 
 // New returns a registry for a VM that is listed under key.
-func New(kv store.KV, key string, vm site.VM, duty Duty, log *logrus.Entry) (*Registry, error) {
+func New(kv store.KV, key string, vm site.VM, duty StoreWatcher, log *logrus.Entry) (*Registry, error) {
 	value, err := json.Marshal(vm)
 	if err != nil {
 		return nil, errors.Wrap(err, "registry: encode")
@@ -61,9 +61,9 @@
 	return &Registry{kv: kv, key: key, value: value, duty: duty, log: log}, nil
 }
 
-// Missing tells that the store's list lacks this VM: keys can vanish without any
+// ReportMissing tells that the store's list lacks this VM: keys can vanish without any
 // call that shows it.
-func (r *Registry) Missing() { r.unlisted.Store(true) }
+func (r *Registry) ReportMissing() { r.unlisted.Store(true) }
 
 // Run keeps the VM listed until the context ends, then removes it.
 func (r *Registry) Run(ctx context.Context) {
@@ -77,7 +77,7 @@
 			continue
 		}
 		r.log.WithError(err).Warn("registry: not renewed")
-		r.duty.Unanswered()
+		r.duty.CancelWatch()
 		wait.For(ctx, retry)
 		retry = retryLast
 	}
--- a/edge/registry/registry_test.go
+++ b/edge/registry/registry_test.go
@@ -37,7 +37,7 @@
 }
 
 func (d *duty) Watching() bool { return d.watching.Load() }
-func (d *duty) Unanswered()    { d.unanswered.Add(1) }
+func (d *duty) CancelWatch()   { d.unanswered.Add(1) }
 
 func listed(kv store.KV) bool {
 	_, err := kv.Get(context.Background(), key)
@@ -102,7 +102,7 @@
 		if err := kv.Delete(ctx, key, e.Revision); err != nil {
 			t.Fatal(err)
 		}
-		r.Missing()
+		r.ReportMissing()
 		time.Sleep(2 * renewEvery)
 		if !listed(kv) {
 			t.Error("still missing")
--- a/edge/replica/peer.go
+++ b/edge/replica/peer.go
@@ -37,12 +37,12 @@
 }
 
 func (r *Replica) fetch(ctx context.Context, peer string, after store.Revision) {
-	c, err := r.options.FetchFrom(ctx, peer, after)
+	c, err := r.options.FetchSnapshot(ctx, peer, after)
 	log := r.options.Logger.WithField("peer", peer)
 	if err != nil {
 		log.WithError(err).Warn("replica: no snapshot from a peer")
 	} else {
-		r.Adopt(c)
+		r.ApplySnapshot(c)
 		log.WithFields(logrus.Fields{"revision": c.At, "partial": c.Partial, "items": len(c.Items)}).
 			Info("replica: snapshot copied from a peer")
 	}
--- a/edge/replica/replica.go
+++ b/edge/replica/replica.go
@@ -48,9 +48,9 @@
 type Change struct {
 	Entry   store.Entry
 	Removed bool
-	// Listed tells that the change was found by comparing whole copies, so that
+	// FromSnapshot tells that the change was found by comparing whole copies, so that
 	// a removal may be the work of an outage.
-	Listed bool
+	FromSnapshot bool
 }
 
 // Options configure a Replica.
@@ -62,17 +62,17 @@
 	// Changed is called for each batch of changes, in their order, one call at
 	// a time.
 	Changed func([]Change)
-	// FetchFrom reads what another VM's copy has after a revision.
-	FetchFrom func(ctx context.Context, peer string, after store.Revision) (Snapshot, error)
-	// Watches reports whether this VM is one of those that watch the store; the
+	// FetchSnapshot reads what another VM's copy has after a revision.
+	FetchSnapshot func(ctx context.Context, peer string, after store.Revision) (Snapshot, error)
+	// ShouldWatch reports whether this VM is one of those that watch the store; the
 	// others follow them.
-	Watches func() bool
-	// Leads reports whether this VM is the first of those that watch. The others only
+	ShouldWatch func() bool
+	// IsWatchLeader reports whether this VM is the first of those that watch. The others only
 	// take over when it is not answered.
-	Leads func() bool
-	// First reports whether this VM watches while the store answers all, so that
+	IsWatchLeader func() bool
+	// IsDefaultWatcher reports whether this VM watches while the store answers all, so that
 	// the others wait for it.
-	First func() bool
+	IsDefaultWatcher func() bool
 }
 
 // Replica is the copy. It is safe for use by several goroutines.
@@ -105,8 +105,8 @@
 	return &Replica{options: o, items: make(map[string]store.Entry)}
 }
 
-// At returns the copy's revision, and false before the first copy.
-func (r *Replica) At() (store.Revision, bool) {
+// Revision returns the copy's revision, and false before the first copy.
+func (r *Replica) Revision() (store.Revision, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.at, r.loaded
@@ -119,8 +119,8 @@
 	return r.calls
 }
 
-// Linked reports whether the copy follows the store itself and is answered.
-func (r *Replica) Linked() bool {
+// Connected reports whether the copy follows the store itself and is answered.
+func (r *Replica) Connected() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.connected && r.watching
@@ -130,7 +130,7 @@
 func (r *Replica) Run(ctx context.Context) {
 	pause := firstRetry
 	for ctx.Err() == nil {
-		if !r.setWatching(r.options.Watches()) {
+		if !r.setWatching(r.options.ShouldWatch()) {
 			wait.For(ctx, idleLook)
 			continue
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-// followOnce is follow, which Unanswered can end.
+// followOnce is follow, which CancelWatch can end.
 func (r *Replica) followOnce(ctx context.Context) (found, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -167,9 +167,9 @@
 	return r.watching
 }
 
-// Unanswered tells that the store did not answer another call of this VM. A watch that
+// CancelWatch tells that the store did not answer another call of this VM. A watch that
 // hangs is ended, so that others learn at once that this VM does not follow the store.
-func (r *Replica) Unanswered() {
+func (r *Replica) CancelWatch() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.watching && r.endCall != nil {
@@ -179,7 +179,7 @@
 
 // retryPause is the pause after a failed call, when the next one in turn is given.
 func (r *Replica) retryPause(next time.Duration) time.Duration {
-	if _, loaded := r.At(); loaded && !r.options.First() {
+	if _, loaded := r.Revision(); loaded && !r.options.IsDefaultWatcher() {
 		return spareRetry
 	}
 	return next
@@ -199,7 +199,7 @@
 	switch {
 	case f == foundFirstSnapshot:
 		return settle
-	case f == foundChanges && r.options.Leads():
+	case f == foundChanges && r.options.IsWatchLeader():
 		return gather
 	case f == foundChanges:
 		return standbyGather
@@ -230,7 +230,7 @@
 }
 
 func (r *Replica) logConnection(err error) {
-	at, _ := r.At()
+	at, _ := r.Revision()
 	log := r.options.Logger.WithField("revision", at)
 	if err != nil {
 		log.WithError(err).Warn("replica: store lost")
@@ -243,7 +243,7 @@
 // may be stale: each VM reads one at its start, all VMs at once after a loss of power, and
 // the next report of a VM that is ahead brings it up to date.
 func (r *Replica) follow(ctx context.Context) (found, error) {
-	at, loaded := r.At()
+	at, loaded := r.Revision()
 	if !loaded {
 		return foundFirstSnapshot, r.list(store.AllowStale(ctx))
 	}
@@ -273,7 +273,7 @@
 // readAll lists the store after its changes were not to be had. A VM that watches behind
 // a first one copies from there what that one reads: a listing takes several calls.
 func (r *Replica) readAll(ctx context.Context) error {
-	if !r.options.Leads() {
+	if !r.options.IsWatchLeader() {
 		return nil
 	}
 	return r.list(ctx)
@@ -296,7 +296,7 @@
 	if err != nil {
 		return err
 	}
-	r.Adopt(Snapshot{At: list.At, Items: list.Entries})
+	r.ApplySnapshot(Snapshot{At: list.At, Items: list.Entries})
 	return nil
 }
 
--- a/edge/replica/replica_test.go
+++ b/edge/replica/replica_test.go
@@ -46,10 +46,10 @@
 			defer v.mu.Unlock()
 			v.changes = append(v.changes, changes...)
 		},
-		FetchFrom: func(_ context.Context, _ string, after store.Revision) (Snapshot, error) { return fetch(after) },
-		Watches:   func() bool { return v.watches.Load() },
-		Leads:     func() bool { return !v.standby.Load() },
-		First:     func() bool { return !v.spare },
+		FetchSnapshot:    func(_ context.Context, _ string, after store.Revision) (Snapshot, error) { return fetch(after) },
+		ShouldWatch:      func() bool { return v.watches.Load() },
+		IsWatchLeader:    func() bool { return !v.standby.Load() },
+		IsDefaultWatcher: func() bool { return !v.spare },
 	})
 	return v
 }
@@ -102,7 +102,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2 * gather)
-		if v.value("b") != "" || !v.Linked() {
+		if v.value("b") != "" || !v.Connected() {
 			t.Fatal("a removal was not followed")
 		}
 	})
@@ -116,7 +116,7 @@
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		ahead := Snapshot{At: 9, Items: []store.Entry{{Key: "a", Value: []byte("new"), Revision: 9}}}
 		v := newVM(nil, true, func(store.Revision) (Snapshot, error) { return ahead, nil })
-		v.Adopt(Snapshot{At: 5, Items: []store.Entry{{Key: "a", Value: []byte("old"), Revision: 5}}})
+		v.ApplySnapshot(Snapshot{At: 5, Items: []store.Entry{{Key: "a", Value: []byte("old"), Revision: 5}}})
 		for range 10 {
 			v.ObservePeer(ctx, "ahead", false, 9, time.Now())
 			v.ObservePeer(ctx, "behind", true, 5, time.Now())
@@ -150,7 +150,7 @@
 		for i := range 5 {
 			put(t, kv, "a", fmt.Sprint(i))
 			time.Sleep(2 * gather)
-			at, _ := watcher.At()
+			at, _ := watcher.Revision()
 			follower.ObservePeer(ctx, "watcher", true, at, time.Now())
 			synctest.Wait()
 			if got := follower.value("a"); got != fmt.Sprint(i) {
@@ -169,15 +169,15 @@
 // Copies overtake each other on the way. An older one must not bring old values back.
 func TestOlderCopyChangesNothing(t *testing.T) {
 	v := newVM(nil, true, noFetch)
-	v.Adopt(Snapshot{At: 8, Items: []store.Entry{{Key: "a", Value: []byte("new"), Revision: 8}}})
-	v.Adopt(Snapshot{At: 6, Items: []store.Entry{{Key: "a", Value: []byte("old"), Revision: 6}, {Key: "b", Revision: 3}}})
-	v.Adopt(Snapshot{At: 9, Partial: true, After: 8, Items: []store.Entry{{Key: "a", Value: []byte("old"), Revision: 6}}})
+	v.ApplySnapshot(Snapshot{At: 8, Items: []store.Entry{{Key: "a", Value: []byte("new"), Revision: 8}}})
+	v.ApplySnapshot(Snapshot{At: 6, Items: []store.Entry{{Key: "a", Value: []byte("old"), Revision: 6}, {Key: "b", Revision: 3}}})
+	v.ApplySnapshot(Snapshot{At: 9, Partial: true, After: 8, Items: []store.Entry{{Key: "a", Value: []byte("old"), Revision: 6}}})
 	if v.value("a") != "new" {
 		t.Errorf("a went back to %q", v.value("a"))
 	}
 	// What changed between 9 and 11 is not known here.
-	v.Adopt(Snapshot{At: 12, Partial: true, After: 11})
-	if at, _ := v.At(); at != 9 {
+	v.ApplySnapshot(Snapshot{At: 12, Partial: true, After: 11})
+	if at, _ := v.Revision(); at != 9 {
 		t.Errorf("revision %d after a copy with a gap", at)
 	}
 }
@@ -186,14 +186,14 @@
 // missing is told apart from what was removed.
 func TestListedRemovalIsMarked(t *testing.T) {
 	v := newVM(nil, true, noFetch)
-	v.Adopt(Snapshot{At: 5, Items: []store.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}})
+	v.ApplySnapshot(Snapshot{At: 5, Items: []store.Entry{{Key: "a", Revision: 4}, {Key: "b", Revision: 5}}})
 	v.changes = nil
-	v.Adopt(Snapshot{At: 7, Items: []store.Entry{{Key: "a", Revision: 4}}})
-	if len(v.changes) != 1 || !v.changes[0].Removed || !v.changes[0].Listed || v.changes[0].Entry.Key != "b" {
+	v.ApplySnapshot(Snapshot{At: 7, Items: []store.Entry{{Key: "a", Revision: 4}}})
+	if len(v.changes) != 1 || !v.changes[0].Removed || !v.changes[0].FromSnapshot || v.changes[0].Entry.Key != "b" {
 		t.Errorf("changes %+v", v.changes)
 	}
 	v.apply(store.Batch{At: 8, Events: []store.Event{{Entry: store.Entry{Key: "a", Revision: 8}, Deleted: true}}})
-	if last := v.changes[len(v.changes)-1]; last.Listed || !last.Removed {
+	if last := v.changes[len(v.changes)-1]; last.FromSnapshot || !last.Removed {
 		t.Errorf("removal %+v", last)
 	}
 }
@@ -201,7 +201,7 @@
 // More changes come than are remembered. A VM that is far behind gets the whole copy.
 func TestDistantCopyIsWhole(t *testing.T) {
 	v := newVM(nil, true, noFetch)
-	v.Adopt(Snapshot{At: 1, Items: []store.Entry{{Key: "a", Revision: 1}}})
+	v.ApplySnapshot(Snapshot{At: 1, Items: []store.Entry{{Key: "a", Revision: 1}}})
 	for i := range 2 * kept {
 		at := store.Revision(2 + i)
 		v.apply(store.Batch{At: at, Events: []store.Event{{Entry: store.Entry{Key: "a", Revision: at}}}})
@@ -209,7 +209,7 @@
 	if c := v.SnapshotAfter(5); c.Partial || len(c.Items) != 1 {
 		t.Errorf("copy %+v", c)
 	}
-	at, _ := v.At()
+	at, _ := v.Revision()
 	if c := v.SnapshotAfter(at - 3); !c.Partial || len(c.Items) != 3 {
 		t.Errorf("copy %+v", c)
 	}
@@ -243,7 +243,7 @@
 			v.ObservePeer(ctx, "peer", true, 3, time.Now())
 			time.Sleep(behindFor / 2)
 		}
-		if v.value("a") != "1" || v.Linked() {
+		if v.value("a") != "1" || v.Connected() {
 			t.Error("no copy from the peer")
 		}
 	})
@@ -312,20 +312,20 @@
 		v := newVM(kv, true, noFetch)
 		go v.Run(ctx)
 		time.Sleep(5 * time.Second)
-		if !v.Linked() || !v.Watching() {
+		if !v.Connected() || !v.Watching() {
 			t.Fatal("the store is not followed")
 		}
 		kv.cut.Store(true)
 		time.Sleep(2 * time.Second)
-		v.Unanswered()
+		v.CancelWatch()
 		synctest.Wait()
-		if v.Linked() {
+		if v.Connected() {
 			t.Error("linked though the store does not answer")
 		}
 		kv.cut.Store(false)
-		v.Unanswered()
+		v.CancelWatch()
 		time.Sleep(5 * time.Second)
-		if !v.Linked() {
+		if !v.Connected() {
 			t.Error("the store is not followed after the cut")
 		}
 	})
--- a/edge/replica/snapshot.go
+++ b/edge/replica/snapshot.go
@@ -34,8 +34,8 @@
 	return c
 }
 
-// Remembers reports whether what changed after a revision is remembered.
-func (r *Replica) Remembers(after store.Revision) bool {
+// HasChangesAfter reports whether what changed after a revision is remembered.
+func (r *Replica) HasChangesAfter(after store.Revision) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.remembers(after)
@@ -70,8 +70,8 @@
 	}
 }
 
-// Adopt takes a copy if it is newer.
-func (r *Replica) Adopt(c Snapshot) {
+// ApplySnapshot takes a copy if it is newer.
+func (r *Replica) ApplySnapshot(c Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.loaded && c.At <= r.at {
@@ -108,13 +108,13 @@
 		present[entry.Key] = true
 		if entry.Revision > r.items[entry.Key].Revision {
 			r.items[entry.Key] = entry
-			changes = append(changes, Change{Entry: entry, Listed: true})
+			changes = append(changes, Change{Entry: entry, FromSnapshot: true})
 		}
 	}
 	for key, entry := range r.items {
 		if !present[key] && entry.Revision <= c.At {
 			delete(r.items, key)
-			changes = append(changes, Change{Entry: entry, Removed: true, Listed: true})
+			changes = append(changes, Change{Entry: entry, Removed: true, FromSnapshot: true})
 		}
 	}
 	r.at = c.At
--- a/integration/soak/caller_test.go
+++ b/integration/soak/caller_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func resolve(vm platformtest.VM) []string {
+func resolve(vm platformtest.VMSettings) []string {
 	client := &http.Client{Timeout: dialTime, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + vm.Directory + platformtest.ResolvePath(host, vm.Region, vm.Zone))
 	if err != nil {
@@ -111,7 +111,7 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	addresses, err := platformtest.Addresses(text)
+	addresses, err := platformtest.ParseAddresses(text)
 	if err != nil {
 		return nil
 	}
@@ -147,7 +147,7 @@
 		c.drop()
 		return o
 	}
-	o.status, o.body, o.own = resp.StatusCode, string(body), platformtest.IsOwn(resp.Header, id)
+	o.status, o.body, o.own = resp.StatusCode, string(body), platformtest.HasStamp(resp.Header, id)
 	if resp.Close {
 		c.drop()
 	}
--- a/integration/soak/process_test.go
+++ b/integration/soak/process_test.go
@@ -28,13 +28,13 @@
 	t        *testing.T
 	program  string
 	settings string
-	vm       platformtest.VM
+	vm       platformtest.VMSettings
 	log      *os.File
 	cmd      *exec.Cmd
 	gone     chan struct{}
 }
 
-func newProcess(t *testing.T, program, dir string, vm platformtest.VM) *process {
+func newProcess(t *testing.T, program, dir string, vm platformtest.VMSettings) *process {
 	t.Helper()
 	host := loopback.NewHost()
 	vm.IP, vm.Entry, vm.Ready, vm.Directory = host.IP(), host.Address(), host.Address(), host.Address()
--- a/integration/soak/repeats_test.go
+++ b/integration/soak/repeats_test.go
@@ -39,7 +39,7 @@
 	}
 	r := &repeats{w: w, reached: make(map[string][]time.Time)}
 	for i, target := range w.targets {
-		target.EndUnder(endMark, func(path string) { r.end(i, path) })
+		target.AbortOn(endMark, func(path string) { r.end(i, path) })
 	}
 	for n := range 3 {
 		c := &caller{
--- a/integration/soak/soak_test.go
+++ b/integration/soak/soak_test.go
@@ -71,7 +71,7 @@
 	operator platformtest.Operator
 	// registering is held while a target is registered: some start again by themselves.
 	registering sync.Mutex
-	ledger      *platformtest.Ledger
+	ledger      *platformtest.ExecutionLog
 	targets     []*platformtest.Target
 	// paths stand before targets, storePaths before the store, one for each VM.
 	paths, storePaths []*proxy
@@ -113,7 +113,7 @@
 func newWorld(t *testing.T, program string, seed uint64) *world {
 	t.Helper()
 	w := &world{
-		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 0)), kv: memkv.New(memkv.Options{}), ledger: platformtest.NewLedger(),
+		t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 0)), kv: memkv.New(memkv.Options{}), ledger: platformtest.NewExecutionLog(),
 		faults: make(map[string]int), timeline: &timeline{began: time.Now()},
 	}
 	w.operator = platformtest.Operator{KV: w.kv}
@@ -140,7 +140,7 @@
 		path := w.path(w.store.Address())
 		w.storePaths = append(w.storePaths, path)
 		zone := names[i%3]
-		p := newProcess(t, program, dir, platformtest.VM{
+		p := newProcess(t, program, dir, platformtest.VMSettings{
 			Name: fmt.Sprintf("vm-%d", i), Zone: zone, Region: zones[zone], Store: path.address(), Grace: 6, Zones: zones,
 		})
 		t.Cleanup(p.stop)
@@ -191,9 +191,9 @@
 		{"process paused", w.pause},
 		{"process stopped as planned", w.planned},
 		{"settings signal", func() { w.anyProcess().signal(syscall.SIGHUP) }},
-		{"answers lost", func() { w.targets[w.random.IntN(len(w.targets))].LoseAnswers(w.random.Float64() / 2) }},
+		{"answers lost", func() { w.targets[w.random.IntN(len(w.targets))].SetResponseLossRate(w.random.Float64() / 2) }},
 		{"store fails", w.failStore},
-		{"store well", func() { w.store.Fail(nil) }},
+		{"store well", func() { w.store.SetFaults(nil) }},
 		{"configuration", w.configure},
 		{"target drains", w.drain},
 	}
@@ -234,11 +234,11 @@
 }
 
 func (w *world) failStore() {
-	fault := []platformtest.Fault{platformtest.Busy, platformtest.Limited, platformtest.Lost, platformtest.Silent, platformtest.Gone}[w.random.IntN(5)]
+	fault := []platformtest.Fault{platformtest.Unavailable, platformtest.RateLimited, platformtest.ResponseLost, platformtest.NoResponse, platformtest.HistoryGone}[w.random.IntN(5)]
 	share := w.random.Float64()
 	random := rand.New(rand.NewPCG(w.random.Uint64(), 0))
 	var mu sync.Mutex
-	w.store.Fail(func(string) platformtest.Fault {
+	w.store.SetFaults(func(string) platformtest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
 		if random.Float64() < share {
@@ -270,7 +270,7 @@
 	if w.random.IntN(2) == 0 {
 		w.registering.Lock()
 		defer w.registering.Unlock()
-		w.must(w.operator.RegisterStart(w.targets[i], "127.0.0.1:1", false, before))
+		w.must(w.operator.RegisterWithStart(w.targets[i], "127.0.0.1:1", false, before))
 	}
 }
 
@@ -279,17 +279,17 @@
 	values := []any{"?", nil, []int{1}, map[string]any{"state": "ready"}, map[string]any{"service": 7, "address": "here"}}
 	w.registering.Lock()
 	defer w.registering.Unlock()
-	w.must(w.operator.Forge(w.targets[w.random.IntN(len(w.targets))], values[w.random.IntN(len(values))]))
+	w.must(w.operator.WriteRaw(w.targets[w.random.IntN(len(w.targets))], values[w.random.IntN(len(values))]))
 }
 
 func (w *world) heal() {
-	w.store.Fail(nil)
+	w.store.SetFaults(nil)
 	for _, p := range append(append([]*proxy(nil), w.paths...), w.storePaths...) {
 		p.set(pass)
 		p.resetAll()
 	}
 	for i, target := range w.targets {
-		target.LoseAnswers(0)
+		target.SetResponseLossRate(0)
 		w.register(i, false)
 	}
 }
@@ -320,7 +320,7 @@
 	w.t.Helper()
 	counts := map[string]int{}
 	for _, o := range seen.all {
-		runs := w.ledger.Runs(o.id)
+		runs := w.ledger.Executions(o.id)
 		counts[fmt.Sprintf("answers %3d", o.status)]++
 		if o.order || o.status == http.StatusOK {
 			w.checked++
@@ -330,7 +330,7 @@
 			w.t.Errorf("order %s ran %d times: %+v", o.id, len(runs), runs)
 		case o.order && isPromise(o.status) && len(runs) > 0:
 			w.t.Errorf("order %s was answered %d and ran: %+v", o.id, o.status, runs)
-		case o.status == http.StatusOK && (!o.own || o.body != platformtest.BodyOf(o.id) || len(runs) == 0):
+		case o.status == http.StatusOK && (!o.own || o.body != platformtest.ResponseBody(o.id) || len(runs) == 0):
 			w.t.Errorf("%s got another answer: %+v, runs %+v", o.id, o, runs)
 		case o.status == http.StatusNotFound:
 			w.t.Errorf("%s was denied a route that was always there", o.id)
--- a/node/platform.go
+++ b/node/platform.go
@@ -44,10 +44,10 @@
 	rate := p.ReadsPerSecond + p.WritesPerSecond
 	burst := int(storeBurst*rate) + 1
 	client, err := kvclient.New(kvclient.Options{
-		Address: p.Store.String(),
-		Wait:    watchWait(p),
-		Timeout: p.CallTimeout, WatchMargin: p.CallTimeout,
-		Idle: burst,
+		Address:   p.Store.String(),
+		WatchWait: watchWait(p),
+		Timeout:   p.CallTimeout, WatchMargin: p.CallTimeout,
+		MaxIdleConns: burst,
 	})
 	if err != nil {
 		return err
@@ -62,5 +62,5 @@
 // watchWait is how long the service holds a watch: its answer has as long as that of
 // any other call to arrive within the watch's time.
 func watchWait(p settings.Platform) time.Duration {
-	return min(max(p.WatchTimeout-p.CallTimeout, p.WatchTimeout/2), kvclient.MaxWait)
+	return min(max(p.WatchTimeout-p.CallTimeout, p.WatchTimeout/2), kvclient.MaxWatchWait)
 }
--- a/standin/platform/bench_test.go
+++ b/standin/platform/bench_test.go
@@ -30,7 +30,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { _ = s.Stop() })
-	c, err := kvclient.New(kvclient.Options{Address: address(s.Addr()), Idle: idleConnections})
+	c, err := kvclient.New(kvclient.Options{Address: address(s.Addr()), MaxIdleConns: idleConnections})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/standin/platform/kv.go
+++ b/standin/platform/kv.go
@@ -14,7 +14,7 @@
 // serveKV is the key-value service: the platform's protocol, with rates. Its calls end
 // with ctx, which is done when the server stops.
 func (s *Server) serveKV(ctx context.Context) http.Handler {
-	protocol := platformtest.NewHandler(&countedWatches{KV: s.faults, waiting: &s.waiting}, platformtest.ServicePage)
+	protocol := platformtest.NewHandler(&countedWatches{KV: s.faults, waiting: &s.waiting}, platformtest.DefaultPageLimit)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !s.rates.allow(r.Method != http.MethodGet) {
 			w.WriteHeader(http.StatusTooManyRequests)
