--- a/edge/replica/peer.go
+++ b/edge/replica/peer.go
@@ -9,41 +9,38 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// ObservePeer tells the revision of another VM's copy. A copy that stays behind is
-// brought up to date from there.
-//
-// Guard against a store that serves the other VMs but not this one, or a watch
-// that went silent: it shows as a VM that serves an old configuration. The guard
-// holds because revisions are the store's own: a copy with a higher one is newer.
-func (r *Replica) ObservePeer(ctx context.Context, peer string, near bool, at store.Revision, now time.Time) {
+// ObservePeer compares the replica with the revision of another VM's. If it stays behind, it
+// fetches a snapshot from there, so that a VM whose watch hangs or fails does not serve an
+// old configuration. A nearby peer is copied from without delay unless this VM watches.
+func (r *Replica) ObservePeer(ctx context.Context, peer string, nearby bool, revision store.Revision, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.loaded && at <= r.at {
-		// Others may be behind as well; only news of its own ends the delay.
+	if r.loaded && revision <= r.revision {
+		// This peer may be behind as well, so behindSince is kept.
 		return
 	}
 	if r.behindSince.IsZero() {
 		r.behindSince = now
 	}
-	patience := behindFor
-	if near && !r.watching {
-		patience = 0
+	delay := catchUpDelay
+	if nearby && !r.watching {
+		delay = 0
 	}
-	if r.fetching || now.Sub(r.behindSince) < patience {
+	if r.fetching || now.Sub(r.behindSince) < delay {
 		return
 	}
 	r.fetching = true
-	go r.fetch(ctx, peer, r.at)
+	go r.fetch(ctx, peer, r.revision)
 }
 
 func (r *Replica) fetch(ctx context.Context, peer string, after store.Revision) {
-	c, err := r.options.FetchSnapshot(ctx, peer, after)
+	snapshot, err := r.options.FetchSnapshot(ctx, peer, after)
 	log := r.options.Logger.WithField("peer", peer)
 	if err != nil {
 		log.WithError(err).Warn("replica: no snapshot from a peer")
 	} else {
-		r.ApplySnapshot(c)
-		log.WithFields(logrus.Fields{"revision": c.At, "partial": c.Partial, "items": len(c.Items)}).
+		r.ApplySnapshot(snapshot)
+		log.WithFields(logrus.Fields{"revision": snapshot.At, "partial": snapshot.Partial, "items": len(snapshot.Items)}).
 			Info("replica: snapshot copied from a peer")
 	}
 	r.mu.Lock()
--- a/edge/replica/replica.go
+++ b/edge/replica/replica.go
@@ -1,6 +1,7 @@
-// Package mirror keeps a copy of the store's items on an entry VM. The copy
-// follows the store by a watch, or another VM's copy when the store does not
-// serve this VM. It is ordered by the store's revision and never goes back.
+// Package replica keeps a copy of the store's items on an entry VM. A replica follows the
+// store by a watch, or copies snapshots from another VM when this VM does not watch or the
+// store does not serve it. Changes are ordered by the store's revision, and a replica never
+// goes back to an earlier one.
 package replica
 
 import (
@@ -16,40 +17,37 @@
 )
 
 const (
-	// gather is the pause between a change and the next watch. Changes that come
-	// together are then one call: a call has a price, and a change has seconds
-	// to come into force.
-	gather = 400 * time.Millisecond
-	// standbyGather is the same for VMs that watch behind a first one, whose changes they
-	// copy meanwhile: it is shorter than the time in which targets must get nothing more
-	// after they have left.
-	standbyGather = 1200 * time.Millisecond
-	// firstRetry and lastRetry bound the pause after a failed call; it doubles.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = time.Second
-	// spareRetry is the longest pause, and the only one, of VMs that watch in place
-	// of others that are not answered: in an outage all of a region do.
-	spareRetry = 3 * time.Second
-	// settle is the pause between the first listing and the first watch. Which VMs
-	// watch is known once their reports came; before, all would.
-	settle = 500 * time.Millisecond
-	// behindFor is how long a copy that watches, or gets reports of a distant VM, may be
-	// behind before it is brought up to date from there: its own watch, or a VM
-	// nearby, mostly is as quick.
-	behindFor = 300 * time.Millisecond
-	// idleLook is how often a copy that does not watch looks whether it should.
-	idleLook = 200 * time.Millisecond
-	// kept is how many changes are remembered for others that are behind: some
-	// minutes' worth on an ordinary day.
-	kept = 512
+	// batchDelay is the pause between a change and the next watch. Changes within it are
+	// read by a single call.
+	batchDelay = 400 * time.Millisecond
+	// standbyBatchDelay is the same for standby watchers, which copy changes from the watch
+	// leader meanwhile. It stays below the time in which a removed target must no longer
+	// receive requests.
+	standbyBatchDelay = 1200 * time.Millisecond
+	// minRetryPause and maxRetryPause bound the exponential backoff after failed calls.
+	minRetryPause = 100 * time.Millisecond
+	maxRetryPause = time.Second
+	// backupRetryPause is the pause of VMs that watch only because the default watchers
+	// have lost the store: in an outage these are all VMs of a region.
+	backupRetryPause = 3 * time.Second
+	// firstWatchDelay is the pause between the first listing and the first watch. Without
+	// reports from the others, every VM would take itself for a watcher.
+	firstWatchDelay = 500 * time.Millisecond
+	// catchUpDelay is how long a replica stays behind a peer before it copies a snapshot
+	// from there. Its own watch, or a nearby peer, is usually as fast.
+	catchUpDelay = 300 * time.Millisecond
+	// roleCheckInterval is how often a replica that does not watch checks whether it should.
+	roleCheckInterval = 200 * time.Millisecond
+	// maxRecentChanges limits the changes kept for partial snapshots.
+	maxRecentChanges = 512
 )
 
-// Change is one item that was written or removed.
+// Change is a write or a removal of one item.
 type Change struct {
 	Entry   store.Entry
 	Removed bool
-	// FromSnapshot tells that the change was found by comparing whole copies, so that
-	// a removal may be the work of an outage.
+	// FromSnapshot is set for a change that was found by comparing full snapshots. Such a
+	// removal can be the result of an outage of the store.
 	FromSnapshot bool
 }
 
@@ -57,69 +55,68 @@
 type Options struct {
 	KV     store.KV
 	Logger *logrus.Entry
-	// Prefix of the keys that are copied.
+	// Prefix of the keys to replicate.
 	Prefix string
-	// Changed is called for each batch of changes, in their order, one call at
-	// a time.
+	// Changed is called for each batch of changes in order, one call at a time. It must not
+	// call methods of the Replica.
 	Changed func([]Change)
-	// FetchSnapshot reads what another VM's copy has after a revision.
+	// FetchSnapshot reads another VM's snapshot of what changed after a revision.
 	FetchSnapshot func(ctx context.Context, peer string, after store.Revision) (Snapshot, error)
-	// ShouldWatch reports whether this VM is one of those that watch the store; the
-	// others follow them.
+	// ShouldWatch reports whether this VM watches the store. Other VMs copy from those that
+	// do.
 	ShouldWatch func() bool
-	// IsWatchLeader reports whether this VM is the first of those that watch. The others only
-	// take over when it is not answered.
+	// IsWatchLeader reports whether this VM is the first of the watchers. The others are
+	// standbys in case it loses the store.
 	IsWatchLeader func() bool
-	// IsDefaultWatcher reports whether this VM watches while the store answers all, so that
-	// the others wait for it.
+	// IsDefaultWatcher reports whether this VM watches when the store answers all VMs.
 	IsDefaultWatcher func() bool
 }
 
-// Replica is the copy. It is safe for use by several goroutines.
+// Replica is a copy of the store's items. It is safe for concurrent use.
 type Replica struct {
 	options Options
 
-	mu     sync.Mutex
-	at     store.Revision
-	items  map[string]store.Entry
-	loaded bool
-	// connected tells whether the last call to the store was answered.
+	mu       sync.Mutex
+	revision store.Revision
+	items    map[string]store.Entry
+	loaded   bool
+	// connected is set if the last call to the store was answered.
 	connected bool
 	watching  bool
 	calls     uint64
-	// behindSince is when another VM was first seen to be ahead; zero if none is.
+	// behindSince is when a peer was first seen to be ahead, zero if none is.
 	behindSince time.Time
 	fetching    bool
-	// endCall ends the call to the store that is under way.
-	endCall context.CancelFunc
-	// doubt tells that changes may have been missed: the last call failed, or this VM
-	// has not watched lately.
-	doubt bool
-	// recent are the last changes, all of those after recentAfter.
+	// cancelCall cancels the current call to the store.
+	cancelCall context.CancelFunc
+	// unverified is set when changes may have been missed: the last call failed, or this VM
+	// has just begun to watch.
+	unverified bool
+	// recent holds all changes after recentAfter.
 	recent      []Change
 	recentAfter store.Revision
 }
 
-// New returns an empty mirror.
+// New returns an empty replica.
 func New(o Options) *Replica {
 	return &Replica{options: o, items: make(map[string]store.Entry)}
 }
 
-// Revision returns the copy's revision, and false before the first copy.
+// Revision returns the replica's revision, and false before the first snapshot.
 func (r *Replica) Revision() (store.Revision, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at, r.loaded
+	return r.revision, r.loaded
 }
 
-// Calls returns how many calls were made to the store.
+// Calls returns the number of calls made to the store.
 func (r *Replica) Calls() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
-// Connected reports whether the copy follows the store itself and is answered.
+// Connected reports whether this VM watches the store and its last call was answered.
 func (r *Replica) Connected() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,36 +125,36 @@
 
 // Run follows the store until the context ends.
 func (r *Replica) Run(ctx context.Context) {
-	pause := firstRetry
+	pause := minRetryPause
 	for ctx.Err() == nil {
 		if !r.setWatching(r.options.ShouldWatch()) {
-			wait.For(ctx, idleLook)
+			wait.For(ctx, roleCheckInterval)
 			continue
 		}
-		found, err := r.followOnce(ctx)
+		result, err := r.pollCancelable(ctx)
 		if r.setConnected(err == nil) {
 			r.logConnection(err)
 		}
 		if err != nil {
-			r.setDoubt(true)
+			r.setUnverified(true)
 			pause = r.retryPause(pause)
 			wait.For(ctx, pause/2+rand.N(pause/2))
-			pause = min(2*pause, lastRetry)
+			pause = min(2*pause, maxRetryPause)
 			continue
 		}
-		pause = firstRetry
-		wait.For(ctx, r.pauseAfter(found))
+		pause = minRetryPause
+		wait.For(ctx, r.pauseAfter(result))
 	}
 }
 
-// followOnce is follow, which CancelWatch can end.
-func (r *Replica) followOnce(ctx context.Context) (found, error) {
+// pollCancelable is poll, which CancelWatch can cancel.
+func (r *Replica) pollCancelable(ctx context.Context) (callResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.mu.Lock()
-	r.endCall = cancel
+	r.cancelCall = cancel
 	r.mu.Unlock()
-	return r.follow(ctx)
+	return r.poll(ctx)
 }
 
 // Watching reports whether this VM watches the store.
@@ -167,71 +164,72 @@
 	return r.watching
 }
 
-// CancelWatch tells that the store did not answer another call of this VM. A watch that
-// hangs is ended, so that others learn at once that this VM does not follow the store.
+// CancelWatch cancels the current call of a VM that watches. It is called when the store did
+// not answer another call of this VM, so that a hanging watch does not hide that the VM has
+// lost the store.
 func (r *Replica) CancelWatch() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.watching && r.endCall != nil {
-		r.endCall()
+	if r.watching && r.cancelCall != nil {
+		r.cancelCall()
 	}
 }
 
-// retryPause is the pause after a failed call, when the next one in turn is given.
-func (r *Replica) retryPause(next time.Duration) time.Duration {
+// retryPause returns the pause after a failed call, given that of the backoff.
+func (r *Replica) retryPause(backoff time.Duration) time.Duration {
 	if _, loaded := r.Revision(); loaded && !r.options.IsDefaultWatcher() {
-		return spareRetry
+		return backupRetryPause
 	}
-	return next
+	return backoff
 }
 
-// found is what a call to the store brought.
-type found int
+// callResult is the kind of result of a call to the store.
+type callResult int
 
 const (
-	foundNothing found = iota
-	foundChanges
-	foundFirstSnapshot
+	resultNone callResult = iota
+	resultChanges
+	resultFirstSnapshot
 )
 
-// pauseAfter is the pause before the next call.
-func (r *Replica) pauseAfter(f found) time.Duration {
+// pauseAfter returns the pause before the next call.
+func (r *Replica) pauseAfter(result callResult) time.Duration {
 	switch {
-	case f == foundFirstSnapshot:
-		return settle
-	case f == foundChanges && r.options.IsWatchLeader():
-		return gather
-	case f == foundChanges:
-		return standbyGather
+	case result == resultFirstSnapshot:
+		return firstWatchDelay
+	case result == resultChanges && r.options.IsWatchLeader():
+		return batchDelay
+	case result == resultChanges:
+		return standbyBatchDelay
 	}
 	return 0
 }
 
-// setWatching reports whether the store is to be asked: by a VM that watches, and
-// by any that has no copy yet.
+// setWatching sets the role and reports whether to call the store: VMs that watch do, and
+// all that have no snapshot yet.
 func (r *Replica) setWatching(watches bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.watching != watches {
-		r.doubt = watches
-		r.options.Logger.WithFields(logrus.Fields{"watches": watches, "revision": r.at}).Info("replica: role changed")
+		r.unverified = watches
+		r.options.Logger.WithFields(logrus.Fields{"watches": watches, "revision": r.revision}).Info("replica: role changed")
 	}
 	r.watching = watches
 	return watches || !r.loaded
 }
 
-// setConnected reports whether that is news.
-func (r *Replica) setConnected(now bool) bool {
+// setConnected reports whether the state has changed.
+func (r *Replica) setConnected(connected bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news := r.connected != now
-	r.connected = now
-	return news
+	changed := r.connected != connected
+	r.connected = connected
+	return changed
 }
 
 func (r *Replica) logConnection(err error) {
-	at, _ := r.Revision()
-	log := r.options.Logger.WithField("revision", at)
+	revision, _ := r.Revision()
+	log := r.options.Logger.WithField("revision", revision)
 	if err != nil {
 		log.WithError(err).Warn("replica: store lost")
 		return
@@ -239,49 +237,49 @@
 	log.Info("replica: store reached")
 }
 
-// follow makes one call: a listing for the first copy, a watch afterwards. The first copy
-// may be stale: each VM reads one at its start, all VMs at once after a loss of power, and
-// the next report of a VM that is ahead brings it up to date.
-func (r *Replica) follow(ctx context.Context) (found, error) {
-	at, loaded := r.Revision()
+// poll makes one call: a listing for the first snapshot, a watch afterwards. The first
+// snapshot may be stale, which is cheaper when all VMs start at once; the watch or a peer
+// that is ahead brings it up to date.
+func (r *Replica) poll(ctx context.Context) (callResult, error) {
+	revision, loaded := r.Revision()
 	if !loaded {
-		return foundFirstSnapshot, r.list(store.AllowStale(ctx))
+		return resultFirstSnapshot, r.list(store.AllowStale(ctx))
 	}
-	if r.inDoubt() {
-		return r.check(ctx, at)
+	if r.isUnverified() {
+		return r.catchUp(ctx, revision)
 	}
-	batch, err := r.watch(ctx, at)
+	batch, err := r.watch(ctx, revision)
 	if err != nil {
-		return foundNothing, err
+		return resultNone, err
 	}
 	if batch.Reset {
-		r.options.Logger.WithField("revision", at).Warn("replica: the store's history is gone")
-		return foundChanges, r.readAll(ctx)
+		r.options.Logger.WithField("revision", revision).Warn("replica: the store's history is gone")
+		return resultChanges, r.reload(ctx)
 	}
-	if len(batch.Events) == 0 && batch.At > at && r.options.Prefix == "" {
-		// There is a change, and a watch of all keys did not bring it.
-		r.setDoubt(true)
-		return foundNothing, nil
+	if len(batch.Events) == 0 && batch.At > revision && r.options.Prefix == "" {
+		// The store has changes that a watch of all keys did not return.
+		r.setUnverified(true)
+		return resultNone, nil
 	}
 	r.apply(batch)
 	if len(batch.Events) == 0 {
-		return foundNothing, nil
+		return resultNone, nil
 	}
-	return foundChanges, nil
+	return resultChanges, nil
 }
 
-// readAll lists the store after its changes were not to be had. A VM that watches behind
-// a first one copies from there what that one reads: a listing takes several calls.
-func (r *Replica) readAll(ctx context.Context) error {
+// reload lists the store when it did not return the changes. Standby watchers leave this to
+// the watch leader and copy from it, as a listing takes several calls.
+func (r *Replica) reload(ctx context.Context) error {
 	if !r.options.IsWatchLeader() {
 		return nil
 	}
 	return r.list(ctx)
 }
 
-func (r *Replica) watch(ctx context.Context, at store.Revision) (store.Batch, error) {
+func (r *Replica) watch(ctx context.Context, after store.Revision) (store.Batch, error) {
 	r.countCall()
-	return r.options.KV.Watch(ctx, r.options.Prefix, at)
+	return r.options.KV.Watch(ctx, r.options.Prefix, after)
 }
 
 func (r *Replica) countCall() {
@@ -306,7 +304,7 @@
 	r.applyEvents(batch)
 }
 
-// applyEvents is called with the lock held.
+// applyEvents requires the lock.
 func (r *Replica) applyEvents(batch store.Batch) {
 	var changes []Change
 	for _, event := range batch.Events {
@@ -320,16 +318,16 @@
 		}
 		changes = append(changes, Change{Entry: event.Entry, Removed: event.Deleted})
 	}
-	if batch.At > r.at {
-		r.at = batch.At
+	if batch.At > r.revision {
+		r.revision = batch.At
 		r.behindSince = time.Time{}
 	}
-	r.remember(changes)
-	r.tell(changes)
+	r.recordChanges(changes)
+	r.notify(changes)
 }
 
-// tell is called with the lock held, so that changes are told in order.
-func (r *Replica) tell(changes []Change) {
+// notify requires the lock, so that batches are reported in order.
+func (r *Replica) notify(changes []Change) {
 	if len(changes) > 0 {
 		r.options.Changed(changes)
 	}
--- a/edge/replica/snapshot.go
+++ b/edge/replica/snapshot.go
@@ -9,86 +9,89 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Snapshot is items at a revision: all of them, or those that changed after another one.
+// Snapshot holds the items at a revision: all of them, or the changes after an earlier one.
 type Snapshot struct {
 	At    store.Revision `msgpack:"t"`
 	Items []store.Entry  `msgpack:"i"`
-	// Partial tells that items and removals bring a copy from After to At.
+	// Partial is set if Items and Removed are the changes from After to At.
 	Partial bool           `msgpack:"p,omitempty"`
 	After   store.Revision `msgpack:"a,omitempty"`
 	Removed []store.Entry  `msgpack:"r,omitempty"`
 }
 
-// SnapshotAfter returns what changed after a revision, or all items if that is not
-// remembered.
+// SnapshotAfter returns the changes after a revision, or all items if these changes are no
+// longer kept.
 func (r *Replica) SnapshotAfter(after store.Revision) Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.remembers(after) {
-		return r.partial(after)
+	if r.hasChangesAfter(after) {
+		return r.partialSnapshot(after)
 	}
-	c := Snapshot{At: r.at, Items: make([]store.Entry, 0, len(r.items))}
+	snapshot := Snapshot{At: r.revision, Items: make([]store.Entry, 0, len(r.items))}
 	for _, entry := range r.items {
-		c.Items = append(c.Items, entry)
+		snapshot.Items = append(snapshot.Items, entry)
 	}
-	return c
+	return snapshot
 }
 
-// HasChangesAfter reports whether what changed after a revision is remembered.
+// HasChangesAfter reports whether all changes after a revision are kept.
 func (r *Replica) HasChangesAfter(after store.Revision) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.remembers(after)
+	return r.hasChangesAfter(after)
 }
 
-// remembers is called with the lock held.
-func (r *Replica) remembers(after store.Revision) bool { return after > 0 && after >= r.recentAfter }
+// hasChangesAfter requires the lock.
+func (r *Replica) hasChangesAfter(after store.Revision) bool {
+	return after > 0 && after >= r.recentAfter
+}
 
-// partial is called with the lock held.
-func (r *Replica) partial(after store.Revision) Snapshot {
-	c := Snapshot{At: r.at, Partial: true, After: after}
+// partialSnapshot requires the lock.
+func (r *Replica) partialSnapshot(after store.Revision) Snapshot {
+	snapshot := Snapshot{At: r.revision, Partial: true, After: after}
 	for _, change := range r.recent {
 		switch {
 		case change.Entry.Revision <= after:
 		case change.Removed:
 			removed := change.Entry
 			removed.Value = nil
-			c.Removed = append(c.Removed, removed)
+			snapshot.Removed = append(snapshot.Removed, removed)
 		default:
-			c.Items = append(c.Items, change.Entry)
+			snapshot.Items = append(snapshot.Items, change.Entry)
 		}
 	}
-	return c
+	return snapshot
 }
 
-// remember keeps the last changes for other VMs.
-func (r *Replica) remember(changes []Change) {
+// recordChanges keeps the most recent changes for partial snapshots. It requires the lock.
+func (r *Replica) recordChanges(changes []Change) {
 	r.recent = append(r.recent, changes...)
-	if over := len(r.recent) - kept; over > 0 {
-		r.recentAfter = r.recent[over-1].Entry.Revision
-		r.recent = append(r.recent[:0], r.recent[over:]...)
+	if excess := len(r.recent) - maxRecentChanges; excess > 0 {
+		r.recentAfter = r.recent[excess-1].Entry.Revision
+		r.recent = append(r.recent[:0], r.recent[excess:]...)
 	}
 }
 
-// ApplySnapshot takes a copy if it is newer.
-func (r *Replica) ApplySnapshot(c Snapshot) {
+// ApplySnapshot applies a snapshot that is newer than the replica. A partial one is ignored
+// if there is a gap between them.
+func (r *Replica) ApplySnapshot(snapshot Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.loaded && c.At <= r.at {
+	if r.loaded && snapshot.At <= r.revision {
 		return
 	}
-	if !c.Partial {
-		r.replace(c)
+	if !snapshot.Partial {
+		r.replaceItems(snapshot)
 		return
 	}
-	if !r.loaded || c.After > r.at {
+	if !r.loaded || snapshot.After > r.revision {
 		return
 	}
-	batch := store.Batch{At: c.At}
-	for _, entry := range c.Removed {
+	batch := store.Batch{At: snapshot.At}
+	for _, entry := range snapshot.Removed {
 		batch.Events = append(batch.Events, store.Event{Entry: entry, Deleted: true})
 	}
-	for _, entry := range c.Items {
+	for _, entry := range snapshot.Items {
 		batch.Events = append(batch.Events, store.Event{Entry: entry})
 	}
 	slices.SortStableFunc(batch.Events, func(a, b store.Event) int {
@@ -97,11 +100,11 @@
 	r.applyEvents(batch)
 }
 
-// replace is called with the lock held.
-func (r *Replica) replace(c Snapshot) {
+// replaceItems applies a full snapshot. It requires the lock.
+func (r *Replica) replaceItems(snapshot Snapshot) {
 	var changes []Change
-	present := make(map[string]bool, len(c.Items))
-	for _, entry := range c.Items {
+	present := make(map[string]bool, len(snapshot.Items))
+	for _, entry := range snapshot.Items {
 		if !strings.HasPrefix(entry.Key, r.options.Prefix) {
 			continue
 		}
@@ -112,15 +115,15 @@
 		}
 	}
 	for key, entry := range r.items {
-		if !present[key] && entry.Revision <= c.At {
+		if !present[key] && entry.Revision <= snapshot.At {
 			delete(r.items, key)
 			changes = append(changes, Change{Entry: entry, Removed: true, FromSnapshot: true})
 		}
 	}
-	r.at = c.At
+	r.revision = snapshot.At
 	r.loaded = true
 	r.behindSince = time.Time{}
-	// What was removed, and when, is not known of a listing.
-	r.recent, r.recentAfter = nil, c.At
-	r.tell(changes)
+	// A listing does not contain removals, so that earlier revisions get a full snapshot.
+	r.recent, r.recentAfter = nil, snapshot.At
+	r.notify(changes)
 }
--- a/edge/replica/standby_test.go
+++ b/edge/replica/standby_test.go
@@ -11,12 +11,11 @@
 	"github.com/yuccaroute/yuccaroute/store/memkv"
 )
 
-// staleKV answers listings that may be stale with the first one that it gave, and counts
-// the others.
+// staleKV answers listings that may be stale with an old one and counts the others.
 type staleKV struct {
 	store.KV
-	old   store.Listing
-	fresh atomic.Int32
+	old        store.Listing
+	freshLists atomic.Int32
 }
 
 // List implements store.KV.
@@ -24,15 +23,14 @@
 	if store.IsStaleAllowed(ctx) {
 		return s.old, nil
 	}
-	s.fresh.Add(1)
+	s.freshLists.Add(1)
 	return s.KV.List(ctx, prefix)
 }
 
-// All VMs restart at once, and each reads the whole store: hundreds of calls. The first
-// reading may be stale, which costs a tenth. The target that left meanwhile must be gone
-// as soon as the watch of this VM is answered.
-func TestStaleFirstCopyCatchesUp(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context) {
+// The first listing may be stale, which is cheaper. A target that was removed meanwhile must
+// be gone after the first watch.
+func TestStaleFirstSnapshotCatchesUp(t *testing.T) {
+	runSynctest(t, func(t *testing.T, ctx context.Context) {
 		kv := &staleKV{KV: memkv.New(memkv.Options{WatchWait: time.Second})}
 		put(t, kv, "a", "1")
 		put(t, kv, "left", "1")
@@ -46,26 +44,25 @@
 		if err := kv.Delete(ctx, "left", left.Revision); err != nil {
 			t.Fatal(err)
 		}
-		v := newVM(kv, true, noFetch)
+		v := newTestVM(kv, true, noFetch)
 		go v.Run(ctx)
-		time.Sleep(2 * settle)
+		time.Sleep(2 * firstWatchDelay)
 		if v.value("a") != "2" || v.value("left") != "" {
-			t.Errorf("a %q, left %q after the first watch", v.value("a"), v.value("left"))
+			t.Errorf("a is %q, left is %q after the first watch, want 2 and none", v.value("a"), v.value("left"))
 		}
-		if n := kv.fresh.Load(); n > 1 {
-			t.Errorf("%d listings at the full price", n)
+		if n := kv.freshLists.Load(); n > 1 {
+			t.Errorf("%d listings were not stale, want at most 1", n)
 		}
 	})
 }
 
-// Two VMs of a region watch the store while targets change all the time. The second one
-// made as many calls as the first though it had the changes from there; now it makes a
-// third of them, and as many as a first one when it is the first.
+// A standby watcher gets changes from the watch leader as well. Guards against a standby that
+// calls the store as often as the leader, and one that still calls rarely as a leader.
 func TestStandbyWatchesLessOften(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context) {
+	runSynctest(t, func(t *testing.T, ctx context.Context) {
 		kv := memkv.New(memkv.Options{WatchWait: time.Second})
 		put(t, kv, "a", "0")
-		first, second := newVM(kv, true, noFetch), newVM(kv, true, noFetch)
+		first, second := newTestVM(kv, true, noFetch), newTestVM(kv, true, noFetch)
 		second.standby.Store(true)
 		go first.Run(ctx)
 		go second.Run(ctx)
@@ -78,26 +75,26 @@
 			return int(first.Calls() - a), int(second.Calls() - b)
 		}
 		if a, b := callsIn(12 * time.Second); 2*b >= a {
-			t.Errorf("%d calls of the first, %d of the second", a, b)
+			t.Errorf("%d calls of the leader, %d of the standby, want less than half", a, b)
 		}
 		second.standby.Store(false)
 		if a, b := callsIn(12 * time.Second); b < a*9/10 {
-			t.Errorf("%d calls of the first, %d of the one that is first now", a, b)
+			t.Errorf("%d calls of the first VM, %d of the new leader, want nearly as many", a, b)
 		}
 	})
 }
 
-// The store drops its history again and again. The VM that watches behind a first one read
-// the whole store each time, as the first one did; it copies from the first one.
-func TestStandbyDoesNotReadAll(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context) {
-		v, kv := newDeaf(t, ctx, true)
+// When the store drops its history, only the watch leader lists it again. Guards against a
+// standby that does so as well.
+func TestStandbyDoesNotReload(t *testing.T) {
+	runSynctest(t, func(t *testing.T, ctx context.Context) {
+		v, kv := newStalled(t, ctx, true)
 		v.standby.Store(true)
-		kv.change(t)
-		time.Sleep(2 * deafWait)
-		mustHave(t, v, "1")
+		kv.putWhileStalled(t)
+		time.Sleep(2 * stalledWatchWait)
+		expectValue(t, v, "1")
 		v.standby.Store(false)
-		time.Sleep(2 * deafWait)
-		mustHave(t, v, "2")
+		time.Sleep(2 * stalledWatchWait)
+		expectValue(t, v, "2")
 	})
 }
