--- a/edge/registry/registry_test.go
+++ b/edge/registry/registry_test.go
@@ -23,50 +23,49 @@
 	t.Helper()
 	l := logrus.New()
 	l.SetOutput(io.Discard)
-	r, err := New(kv, key, site.VM{Name: "a"}, &duty{}, logrus.NewEntry(l))
+	r, err := New(kv, key, site.VM{Name: "a"}, &fakeWatcher{}, logrus.NewEntry(l))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// duty is a VM that watches, or not, and counts what it was told.
-type duty struct {
-	watching   atomic.Bool
-	unanswered atomic.Int32
+// fakeWatcher counts the calls of CancelWatch.
+type fakeWatcher struct {
+	watching atomic.Bool
+	cancels  atomic.Int32
 }
 
-func (d *duty) Watching() bool { return d.watching.Load() }
-func (d *duty) CancelWatch()   { d.unanswered.Add(1) }
+func (w *fakeWatcher) Watching() bool { return w.watching.Load() }
+func (w *fakeWatcher) CancelWatch()   { w.cancels.Add(1) }
 
-func listed(kv store.KV) bool {
+func registered(kv store.KV) bool {
 	_, err := kv.Get(context.Background(), key)
 	return err == nil
 }
 
-// A VM is listed from its start to its planned stop, and for no longer than the lease
-// after it has vanished.
-func TestListedWhileRunning(t *testing.T) {
+// A VM is registered from its start to its planned stop.
+func TestRegisteredWhileRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
 		ctx, stop := context.WithCancel(context.Background())
 		go newRegistry(t, kv).Run(ctx)
 		for range 10 {
 			time.Sleep(TTL)
-			if !listed(kv) {
-				t.Fatal("not listed")
+			if !registered(kv) {
+				t.Fatal("not registered")
 			}
 		}
 		stop()
 		synctest.Wait()
-		if listed(kv) {
-			t.Error("listed after its end")
+		if registered(kv) {
+			t.Error("still registered after Run")
 		}
 	})
 }
 
-// The VM was killed and starts anew while its last entry is still there.
-func TestReplacesItsLastEntry(t *testing.T) {
+// A killed VM restarts while its earlier entry still exists.
+func TestReplacesEarlierEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
 		old, err := kv.Grant(context.Background(), TTL)
@@ -80,15 +79,15 @@
 		go newRegistry(t, kv).Run(ctx)
 		time.Sleep(2 * TTL)
 		if e, err := kv.Get(ctx, key); err != nil || string(e.Value) == "old" {
-			t.Errorf("%q, %v", e.Value, err)
+			t.Errorf("entry is %q, error %v", e.Value, err)
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-// The store drops the entry and goes on renewing the lease, so that no call shows it.
-func TestRegistersAnewWhenItsEntryIsMissing(t *testing.T) {
+// The store loses the entry while renewals of its lease still succeed.
+func TestRegistersAgainWhenEntryIsMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
 		ctx, stop := context.WithCancel(context.Background())
@@ -103,41 +102,41 @@
 			t.Fatal(err)
 		}
 		r.ReportMissing()
-		time.Sleep(2 * renewEvery)
-		if !listed(kv) {
-			t.Error("still missing")
+		time.Sleep(2 * renewInterval)
+		if !registered(kv) {
+			t.Error("entry is still missing")
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-// lost answers no write, though it does them.
-type lost struct{ store.KV }
+// lostSwapKV executes swaps but reports their outcome as unknown.
+type lostSwapKV struct{ store.KV }
 
-func (l lost) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
+func (l lostSwapKV) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
 	if _, err := l.KV.Swap(ctx, key, value, expected, lease); err != nil {
 		return 0, err
 	}
 	return 0, store.ErrUnknown
 }
 
-// The answer to the registration is lost. The next try meets its own entry.
-func TestLostAnswerOfTheRegistration(t *testing.T) {
+// The answer to a registration is lost, so that the next attempt finds its own entry.
+func TestRegistrationAfterLostAnswer(t *testing.T) {
 	kv := memkv.New(memkv.Options{})
-	r := newRegistry(t, lost{kv})
-	if err := r.keep(context.Background(), false); !errors.Is(err, store.ErrUnknown) {
+	r := newRegistry(t, lostSwapKV{kv})
+	if err := r.renewOrRegister(context.Background(), false); !errors.Is(err, store.ErrUnknown) {
 		t.Fatalf("error %v", err)
 	}
 	r.kv = kv
-	if err := r.keep(context.Background(), false); err != nil || !listed(kv) {
+	if err := r.renewOrRegister(context.Background(), false); err != nil || !registered(kv) {
 		t.Fatalf("error %v", err)
 	}
 }
 
-// The store is away for longer than the lease lasts. The VM tries often enough to keep its
-// lease over a short outage, and no more: each call has a price. It is listed again soon.
-func TestFewCallsWhileTheStoreIsAway(t *testing.T) {
+// Guards against too many calls in an outage, and against a VM that stays unregistered after
+// an outage that outlasts its lease.
+func TestRetryRateDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := faultkv.New(memkv.New(memkv.Options{}), nil)
 		ctx, stop := context.WithCancel(context.Background())
@@ -150,50 +149,49 @@
 			t.Errorf("%d calls in 20 s, want 9 to 12", n)
 		}
 		kv.SetOutage(false)
-		time.Sleep(2 * retryLast)
-		if !listed(kv) {
-			t.Error("not listed after the outage")
+		time.Sleep(2 * retryPause)
+		if !registered(kv) {
+			t.Error("not registered after the outage")
 		}
 		stop()
 		synctest.Wait()
 	})
 }
 
-// silent is a store that stops to answer.
-type silent struct {
+// hangingKV is a store whose renewals can hang until they are canceled.
+type hangingKV struct {
 	store.KV
-	cut atomic.Bool
+	hang atomic.Bool
 }
 
-func (s *silent) KeepAlive(ctx context.Context, id store.LeaseID) error {
-	if s.cut.Load() {
+func (s *hangingKV) KeepAlive(ctx context.Context, id store.LeaseID) error {
+	if s.hang.Load() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	return s.KV.KeepAlive(ctx, id)
 }
 
-// The only watching VM of a region is cut off from the store. The others went on sending to
-// targets that left for more than three seconds, until its watch ended. Now it learns from
-// its renewals, in time for the others to take over.
-func TestWatchingVMLearnsSoonThatItIsCutOff(t *testing.T) {
+// A VM that watches loses the store. Guards against detecting this only when its watch times
+// out, as the other VMs of the region rely on it until then.
+func TestWatchIsCanceledWhenRenewalTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		kv := &silent{KV: memkv.New(memkv.Options{})}
+		kv := &hangingKV{KV: memkv.New(memkv.Options{})}
 		r := newRegistry(t, kv)
-		d := &duty{}
-		d.watching.Store(true)
-		r.duty = d
+		w := &fakeWatcher{}
+		w.watching.Store(true)
+		r.watcher = w
 		ctx, stop := context.WithCancel(context.Background())
 		go r.Run(ctx)
 		time.Sleep(10 * time.Second)
-		if n := d.unanswered.Load(); n != 0 {
-			t.Errorf("told %d times while the store answers", n)
+		if n := w.cancels.Load(); n != 0 {
+			t.Errorf("watch canceled %d times while the store answers, want 0", n)
 		}
-		kv.cut.Store(true)
-		time.Sleep(watchRenewEvery + watchRenewTime)
+		kv.hang.Store(true)
+		time.Sleep(watchRenewInterval + watchRenewTimeout)
 		synctest.Wait()
-		if n := d.unanswered.Load(); n != 1 {
-			t.Errorf("told %d times after the cut", n)
+		if n := w.cancels.Load(); n != 1 {
+			t.Errorf("watch canceled %d times after the store hangs, want 1", n)
 		}
 		stop()
 		synctest.Wait()
