--- a/node/admin.go
+++ b/node/admin.go
@@ -155,7 +155,7 @@
 
 // Spreading implements admin.StatusSource: it asks all nodes now.
 func (p operatorPorts) Spreading(ctx context.Context, account model.AccountName, version changelog.Version) (*wire.Spreading, error) {
-	survey := p.node.spread.Survey(ctx, source.Key(string(account)))
+	survey := p.node.spread.QueryVersions(ctx, source.Key(string(account)))
 	list, age, ok := p.node.membersWithAge()
 	out := &wire.Spreading{VMListAgeMS: -1}
 	if ok {
--- a/node/items.go
+++ b/node/items.go
@@ -155,13 +155,13 @@
 }
 
 // versionInForce tells peers which version of an account requests are served by.
-func (n *Node) versionInForce(key string) (version spread.VersionInForce, known bool) {
+func (n *Node) versionInForce(key string) (version spread.ActiveVersion, known bool) {
 	name, isAccount := strings.CutPrefix(key, source.KeyPrefix)
 	if !isAccount {
-		return spread.VersionInForce{}, false
+		return spread.ActiveVersion{}, false
 	}
 	at, has := n.accounts.state(model.AccountName(name))
-	return spread.VersionInForce{Has: has, Epoch: at.Version.Epoch, Sequence: at.Version.Sequence}, true
+	return spread.ActiveVersion{Has: has, Epoch: at.Version.Epoch, Sequence: at.Version.Sequence}, true
 }
 
 func (n *Node) onPlan(it item.Item) {
--- a/node/node.go
+++ b/node/node.go
@@ -191,14 +191,14 @@
 func (n *Node) makeSpread() error {
 	n.changes = changelog.New(n.store, changelog.Options{Seed: n.id.Incarnation})
 	service, err := spread.New(spread.Options{
-		Ref:     n.ref,
-		Members: n.peerList,
-		Dial:    n.peers.Dial,
-		Names:   namedContent,
-		Source:  source.NewIn(n.accountForm(), n.store, n.changes, n.log),
-		InForce: n.versionInForce,
-		Seed:    n.id.Incarnation,
-		Logger:  n.log,
+		Ref:           n.ref,
+		Members:       n.peerList,
+		Dial:          n.peers.Dial,
+		ContentNames:  namedContent,
+		Source:        source.NewIn(n.accountForm(), n.store, n.changes, n.log),
+		ActiveVersion: n.versionInForce,
+		Seed:          n.id.Incarnation,
+		Logger:        n.log,
 	})
 	if err != nil {
 		return err
@@ -247,7 +247,7 @@
 	for i := range snapshot.List.VMs {
 		live[snapshot.List.VMs[i].Peer.String()] = true
 	}
-	n.peers.Forget(func(address string) bool { return live[address] })
+	n.peers.Retain(func(address string) bool { return live[address] })
 }
 
 func (n *Node) members() membership.List {
--- a/node/vmlist.go
+++ b/node/vmlist.go
@@ -85,5 +85,5 @@
 }
 
 func (l listSpread) NoteReading(epoch, sequence uint64, at time.Time) {
-	l.service.NoteListRead(epoch, sequence, at)
+	l.service.RecordListRead(epoch, sequence, at)
 }
--- a/spread/contents.go
+++ b/spread/contents.go
@@ -70,7 +70,7 @@
 	}
 	states = append(states, w)
 	slices.SortFunc(states, func(a, b *waitingItem) int {
-		if a.item.Later(b.item) {
+		if a.item.NewerThan(b.item) {
 			return 1
 		}
 		return -1
@@ -84,7 +84,7 @@
 
 // settle ends the waiting of a state and of all before it.
 func (c *contents) settle(it item.Item) {
-	later := slices.DeleteFunc(c.waiting[it.Key], func(w *waitingItem) bool { return !w.item.Later(it) })
+	later := slices.DeleteFunc(c.waiting[it.Key], func(w *waitingItem) bool { return !w.item.NewerThan(it) })
 	if len(later) == 0 {
 		delete(c.waiting, it.Key)
 		return
--- a/spread/faults_test.go
+++ b/spread/faults_test.go
@@ -44,7 +44,7 @@
 			f.t.Errorf("%d nodes watch the store", n)
 		}
 		for vm, n := range f.nodes {
-			if !n.Ready() || !n.Status().Fed {
+			if !n.Ready() || !n.Status().HasStorePath {
 				f.t.Errorf("%s: %+v", vm, n.Status())
 			}
 		}
@@ -155,12 +155,12 @@
 			other := func(address string) bool { return address != witness.Address && address != first.Address }
 			return from == leaf.member.Address && other(to) || to == leaf.member.Address && other(from)
 		})
-		longest := time.Duration(float64(DefaultCompareEvery)*(1+jitterShare)) + 2*linkDelay
+		longest := time.Duration(float64(DefaultCompareInterval)*(1+jitterShare)) + 2*linkDelay
 		for range 300 {
 			f.after(time.Second)
 			for _, peer := range leaf.Status().Peers {
-				if peer.VM == witness.VM && peer.HeardAge > longest {
-					f.t.Fatalf("witness %s heard %s ago, want at most %s", peer.VM, peer.HeardAge, longest)
+				if peer.VM == witness.VM && peer.LastContactAge > longest {
+					f.t.Fatalf("witness %s heard %s ago, want at most %s", peer.VM, peer.LastContactAge, longest)
 				}
 			}
 		}
--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -176,15 +176,15 @@
 		members = vms.members
 	}
 	s, err := New(Options{
-		Ref:     &peerpb.NodeRef{Vm: m.VM, Incarnation: f.lives, PeerAddress: m.Address, Place: m.Place, Region: m.Region},
+		Ref:     &peerpb.NodeRef{Vm: m.VM, Incarnation: f.lives, PeerAddress: m.Address, Place: m.FailureDomain, Region: m.Region},
 		Members: members,
 		Dial: func(address string) (grpc.ClientConnInterface, error) {
 			return link{net: f.net, from: m.Address, to: address}, nil
 		},
-		Names:  testNames,
-		Source: f.store,
-		Seed:   f.lives,
-		Logger: logger,
+		ContentNames: testNames,
+		Source:       f.store,
+		Seed:         f.lives,
+		Logger:       logger,
 	})
 	if err != nil {
 		f.t.Fatal(err)
--- a/spread/hub.go
+++ b/spread/hub.go
@@ -30,12 +30,12 @@
 	if content.IsKey(it.Key) {
 		return h.applyContent(it, from)
 	}
-	if have, found := h.table.Snapshot().Get(it.Key); found && !it.Later(have) {
+	if have, found := h.table.Snapshot().Get(it.Key); found && !it.NewerThan(have) {
 		return h.table.Apply(it)
 	}
 	w := h.contents.wait(it, h.contents.needs(it))
 	if !w.complete(h.table.Snapshot()) {
-		return item.Waiting
+		return item.Pending
 	}
 	h.accept(w, from)
 	return item.Applied
@@ -45,15 +45,15 @@
 // refused: it would come back from peers that lag for as long as they do.
 func (h *hub) applyContent(it item.Item, from *waiter) item.Outcome {
 	if _, held := h.table.Snapshot().Get(it.Key); held {
-		return item.Known
+		return item.Duplicate
 	}
 	given := h.contents.arrive(it)
 	if len(given) == 0 {
-		return item.Unnamed
+		return item.Unreferenced
 	}
-	outcome := item.Waiting
+	outcome := item.Pending
 	for _, w := range given {
-		if have, found := h.table.Snapshot().Get(w.item.Key); found && !w.item.Later(have) {
+		if have, found := h.table.Snapshot().Get(w.item.Key); found && !w.item.NewerThan(have) {
 			continue
 		}
 		if w.complete(h.table.Snapshot()) {
--- a/spread/item/item.go
+++ b/spread/item/item.go
@@ -25,15 +25,15 @@
 	return it
 }
 
-// Later reports whether the item replaces old. Versions are ordered by
+// NewerThan reports whether the item replaces old. Versions are ordered by
 // (epoch, sequence).
 //
 // Two states may claim one version when a store was restored and written
 // again. Without a third criterion half of the nodes would keep one state and
 // half the other for good, and every comparison would find a difference it
 // can't repair. The hash is the same on every node, so all settle on one.
-func (it Item) Later(old Item) bool {
-	return VersionLater(it.Epoch, it.Sequence, it.Sum, old.Epoch, old.Sequence, old.Sum)
+func (it Item) NewerThan(old Item) bool {
+	return VersionNewer(it.Epoch, it.Sequence, it.Sum, old.Epoch, old.Sequence, old.Sum)
 }
 
 // SameVersion reports whether both claim the same (epoch, sequence).
@@ -41,8 +41,8 @@
 	return it.Epoch == old.Epoch && it.Sequence == old.Sequence
 }
 
-// VersionLater reports whether version a (epoch, sequence, sum) replaces b.
-func VersionLater(aEpoch, aSequence, aSum, bEpoch, bSequence, bSum uint64) bool {
+// VersionNewer reports whether version a (epoch, sequence, sum) replaces b.
+func VersionNewer(aEpoch, aSequence, aSum, bEpoch, bSequence, bSum uint64) bool {
 	if aEpoch != bEpoch {
 		return aEpoch > bEpoch
 	}
--- a/spread/item/table.go
+++ b/spread/item/table.go
@@ -13,14 +13,14 @@
 const (
 	// Applied: it is the latest state now.
 	Applied Outcome = iota
-	// Known: the table has this very state.
-	Known
-	// Older: the table has a later state.
-	Older
-	// Waiting: it is kept aside until the content it names is there.
-	Waiting
-	// Unnamed: it is content that no item names.
-	Unnamed
+	// Duplicate: the table has this very state.
+	Duplicate
+	// Stale: the table has a later state.
+	Stale
+	// Pending: it is kept aside until the content it names is there.
+	Pending
+	// Unreferenced: it is content that no item names.
+	Unreferenced
 )
 
 // Table holds the latest state of each key. It is safe for use by several
@@ -53,14 +53,14 @@
 	b := BucketOf(it.Key)
 	have, found := old.buckets[b].items[it.Key]
 	if found && have.Sum == it.Sum && have.SameVersion(it) {
-		return Known
+		return Duplicate
 	}
 	// Relays, repairs and a restored store may all offer a state that is older
 	// than the one in force. It would show as an accepted change that undoes
 	// itself; comparing under the lock makes the highest version win in every
 	// order of arrival.
-	if found && !it.Later(have) {
-		return Older
+	if found && !it.NewerThan(have) {
+		return Stale
 	}
 	t.current.Store(old.with(b, it, have.Sum, found))
 	return Applied
--- a/spread/item/table_test.go
+++ b/spread/item/table_test.go
@@ -27,7 +27,7 @@
 			before, had := one.Snapshot().Get(it.Key)
 			outcome := one.Apply(it)
 			after, _ := one.Snapshot().Get(it.Key)
-			if had && before.Later(after) {
+			if had && before.NewerThan(after) {
 				t.Fatalf("%v went back to %v", before, after)
 			}
 			if (outcome == Applied) != (after.Sum == it.Sum && (!had || before.Sum != it.Sum)) {
@@ -79,7 +79,7 @@
 func TestDeletedStaysDeleted(t *testing.T) {
 	table := NewTable()
 	table.Apply(New("a", 1, 2, nil))
-	if got := table.Apply(New("a", 1, 1, []byte("old"))); got != Older {
+	if got := table.Apply(New("a", 1, 1, []byte("old"))); got != Stale {
 		t.Fatalf("older state after a deletion: outcome %d", got)
 	}
 	if it, _ := table.Snapshot().Get("a"); !it.Deleted {
--- a/spread/options.go
+++ b/spread/options.go
@@ -16,10 +16,10 @@
 const (
 	// DefaultHeartbeat is the time between empty Updates on an idle stream.
 	DefaultHeartbeat = 2 * time.Second
-	// DefaultCompareEvery with its jitter, 5.4 s, stays below the 6 s within
+	// DefaultCompareInterval with its jitter, 5.4 s, stays below the 6 s within
 	// which every node must know that a target leaves: a relay that lags is
 	// shown by nothing else.
-	DefaultCompareEvery = 4500 * time.Millisecond
+	DefaultCompareInterval = 4500 * time.Millisecond
 )
 
 // Options configures a Service. Ref, Members and Dial are required.
@@ -32,17 +32,17 @@
 	// Dial returns the connection to a peer's address. Connections are shared
 	// and owned by the dialer; see package transport for a pool.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// Names returns the content that an item's body names, see package content;
+	// ContentNames returns the content that an item's body names, see package content;
 	// nil if no item names any. The item is taken and passed on only together
 	// with all of it.
-	Names func(key string, body []byte) []content.Name
+	ContentNames func(key string, body []byte) []content.Name
 	// Source watches the store; nil on a node that can't reach it.
 	Source Source
-	// InForce tells which version of a key the node uses, for surveys: what has
+	// ActiveVersion tells which version of a key the node uses, for surveys: what has
 	// arrived is not used until a listener took it. known is false for keys that
 	// it does not know of, and for all when it is nil; the latest version that
 	// arrived counts then.
-	InForce func(key string) (version VersionInForce, known bool)
+	ActiveVersion func(key string) (version ActiveVersion, known bool)
 	// Seed makes the jitter repeatable; nodes must differ.
 	Seed uint64
 	// Logger defaults to logrus' standard logger.
@@ -50,14 +50,14 @@
 	// Heartbeat is the time between empty Updates on an idle stream, jittered
 	// by a fifth. A stream silent for 2.5 heartbeats is given up.
 	Heartbeat time.Duration
-	// CompareEvery is the mean time between comparisons with the witness, jittered
+	// CompareInterval is the mean time between comparisons with the witness, jittered
 	// by a fifth. Those with a random peer are five times as far apart.
-	CompareEvery time.Duration
+	CompareInterval time.Duration
 }
 
-// VersionInForce is the version of a key that a node uses. Has is false when it
+// ActiveVersion is the version of a key that a node uses. Has is false when it
 // uses none.
-type VersionInForce struct {
+type ActiveVersion struct {
 	Has      bool
 	Epoch    uint64
 	Sequence uint64
@@ -71,13 +71,13 @@
 	if o.Members == nil || o.Dial == nil {
 		return o, errors.New("spread: options lack Members or Dial")
 	}
-	if o.Names == nil {
-		o.Names = func(string, []byte) []content.Name { return nil }
+	if o.ContentNames == nil {
+		o.ContentNames = func(string, []byte) []content.Name { return nil }
 	}
 	if o.Logger == nil {
 		o.Logger = logrus.StandardLogger()
 	}
 	option.Default(&o.Heartbeat, DefaultHeartbeat)
-	option.Default(&o.CompareEvery, DefaultCompareEvery)
+	option.Default(&o.CompareInterval, DefaultCompareInterval)
 	return o, nil
 }
--- a/spread/plan.go
+++ b/spread/plan.go
@@ -72,7 +72,7 @@
 
 func (s *Service) self() topology.Member {
 	ref := s.options.Ref
-	return topology.Member{VM: ref.Vm, Region: ref.Region, Place: ref.Place, Address: ref.PeerAddress}
+	return topology.Member{VM: ref.Vm, Region: ref.Region, FailureDomain: ref.Place, Address: ref.PeerAddress}
 }
 
 func listed(members []topology.Member, vm string) bool {
--- a/spread/ready.go
+++ b/spread/ready.go
@@ -104,7 +104,7 @@
 	plan := s.plan.Load()
 	var own, elsewhere []topology.Member
 	for _, m := range plan.Peers {
-		if m.Place == s.options.Ref.Place {
+		if m.FailureDomain == s.options.Ref.Place {
 			own = append(own, m)
 		} else {
 			elsewhere = append(elsewhere, m)
--- a/spread/server.go
+++ b/spread/server.go
@@ -185,14 +185,14 @@
 		}
 		snap.Bucket(int(b), func(it item.Item) {
 			v, ok := theirs[it.Key]
-			if !ok || item.VersionLater(it.Epoch, it.Sequence, it.Sum, v.Epoch, v.Sequence, v.Sum) {
+			if !ok || item.VersionNewer(it.Epoch, it.Sequence, it.Sum, v.Epoch, v.Sequence, v.Sum) {
 				later = append(later, it)
 			}
 		})
 	}
 	for _, v := range req.GetHave() {
 		it, ok := snap.Get(v.GetKey())
-		if !ok || item.VersionLater(v.Epoch, v.Sequence, v.Sum, it.Epoch, it.Sequence, it.Sum) {
+		if !ok || item.VersionNewer(v.Epoch, v.Sequence, v.Sum, it.Epoch, it.Sequence, it.Sum) {
 			res.Missing = append(res.Missing, v.GetKey())
 		}
 	}
--- a/spread/service.go
+++ b/spread/service.go
@@ -58,7 +58,7 @@
 	s := &Service{
 		options:   options,
 		log:       options.Logger,
-		hub:       newHub(options.Names),
+		hub:       newHub(options.ContentNames),
 		pushes:    newPushQueue(),
 		heard:     newHeardTable(),
 		replaced:  make(chan struct{}),
--- a/spread/sourcerunner.go
+++ b/spread/sourcerunner.go
@@ -21,14 +21,14 @@
 	standInHeartbeats = 2
 )
 
-// Behind tells that the store offered an older state than the one in force: it
+// StaleOffer tells that the store offered an older state than the one in force: it
 // was restored, or a replica that lags answered.
-type Behind struct {
+type StaleOffer struct {
 	Key             string `json:"key"`
 	OfferedEpoch    uint64 `json:"offered_epoch"`
 	OfferedSequence uint64 `json:"offered_sequence"`
-	InForceEpoch    uint64 `json:"in_force_epoch"`
-	InForceSequence uint64 `json:"in_force_sequence"`
+	ActiveEpoch     uint64 `json:"in_force_epoch"`
+	ActiveSequence  uint64 `json:"in_force_sequence"`
 }
 
 // sourceRunner runs the source while the node is a watcher.
@@ -41,11 +41,11 @@
 	failure error
 	// readAt is when the source last read the store, as far as is known.
 	readAt time.Time
-	behind map[string]Behind
+	behind map[string]StaleOffer
 }
 
 func newSourceRunner(s *Service) *sourceRunner {
-	return &sourceRunner{service: s, behind: map[string]Behind{}}
+	return &sourceRunner{service: s, behind: map[string]StaleOffer{}}
 }
 
 func (r *sourceRunner) run(ctx context.Context) {
@@ -162,11 +162,11 @@
 	outcome := r.service.apply(it, nil)
 	r.mu.Lock()
 	r.emitted = true
-	if outcome != item.Older {
+	if outcome != item.Stale {
 		delete(r.behind, key)
 	}
 	r.mu.Unlock()
-	if outcome == item.Older {
+	if outcome == item.Stale {
 		r.noteBehind(it)
 	}
 }
@@ -177,12 +177,12 @@
 	have, _ := r.service.Snapshot().Get(offered.Key)
 	r.mu.Lock()
 	_, known := r.behind[offered.Key]
-	r.behind[offered.Key] = Behind{
+	r.behind[offered.Key] = StaleOffer{
 		Key:             offered.Key,
 		OfferedEpoch:    offered.Epoch,
 		OfferedSequence: offered.Sequence,
-		InForceEpoch:    have.Epoch,
-		InForceSequence: have.Sequence,
+		ActiveEpoch:     have.Epoch,
+		ActiveSequence:  have.Sequence,
 	}
 	r.mu.Unlock()
 	if !known {
--- a/spread/state_test.go
+++ b/spread/state_test.go
@@ -122,8 +122,8 @@
 		f.store.put(account(4))
 		f.after(time.Minute)
 		f.mustHave(account(9))
-		behind := f.byRole(topology.Watcher).Status().Behind
-		if len(behind) != 1 || behind[0].OfferedSequence != 4 || behind[0].InForceSequence != 9 {
+		behind := f.byRole(topology.Watcher).Status().StaleOffers
+		if len(behind) != 1 || behind[0].OfferedSequence != 4 || behind[0].ActiveSequence != 9 {
 			f.t.Errorf("behind: %+v", behind)
 		}
 	})
@@ -144,7 +144,7 @@
 		if content.IsKey(it.Key) {
 			return
 		}
-		if old, ok := last[it.Key]; ok && !it.Later(old) {
+		if old, ok := last[it.Key]; ok && !it.NewerThan(old) {
 			f.t.Errorf("%s was given %s %d.%d after %d.%d", n.member.VM, it.Key, it.Epoch, it.Sequence, old.Epoch, old.Sequence)
 		}
 		last[it.Key] = it
@@ -162,7 +162,7 @@
 		f.inRegion("r0", topology.Watcher).source.emit(one.Key, 1, 2, one.Body)
 		f.inRegion("r1", topology.Watcher).source.emit(other.Key, 1, 2, other.Body)
 		f.after(inForce)
-		if other.Later(one) {
+		if other.NewerThan(one) {
 			one = other
 		}
 		f.mustHave(one)
@@ -218,7 +218,7 @@
 		}
 		f.net.setBlocked(func(from, to string) bool { return hung[to] })
 		f.net.counted()
-		got := f.inRegion("r2", topology.Leaf).Survey(f.t.Context(), "account/daehan")
+		got := f.inRegion("r2", topology.Leaf).QueryVersions(f.t.Context(), "account/daehan")
 		if len(got.Unreachable) != 4 || len(got.Rows) != len(f.nodes)-3 {
 			f.t.Fatalf("%d rows, unreachable %v", len(got.Rows), got.Unreachable)
 		}
@@ -242,13 +242,13 @@
 	inFleetOf(t, 1, 2, 70, func(f *testFleet) {
 		hung := map[string]bool{}
 		for _, n := range f.nodes {
-			hung[n.member.Address] = n.member.Place == "r0-p0"
+			hung[n.member.Address] = n.member.FailureDomain == "r0-p0"
 		}
 		asks := f.nodes["r0-p1-vm100"]
 		f.net.setBlocked(func(from, to string) bool { return hung[to] || hung[from] })
 		// Nobody below the watchers is found through them.
 		asks.plan.Store(&topology.Plan{Peers: asks.plan.Load().Peers})
-		got := asks.Survey(f.t.Context(), "account/daehan")
+		got := asks.QueryVersions(f.t.Context(), "account/daehan")
 		if len(got.Unreachable) != 70 || len(got.Rows) != 70 {
 			f.t.Fatalf("%d rows, %d unreachable", len(got.Rows), len(got.Unreachable))
 		}
--- a/spread/status.go
+++ b/spread/status.go
@@ -14,9 +14,9 @@
 	Digest uint64 `json:"digest"`
 	// Upstreams names the nodes it receives from now.
 	Upstreams []string `json:"upstreams"`
-	// Fed tells whether its source reads the store or an upstream leads to a
+	// HasStorePath tells whether its source reads the store or an upstream leads to a
 	// watcher. It does not tell whether that watcher reaches the store.
-	Fed bool `json:"fed"`
+	HasStorePath bool `json:"fed"`
 	// StoreAge is the time since the latest reading of the store by a watcher
 	// that this node knows of, -1 when it knows of none. What was accepted
 	// after that may be missing here.
@@ -26,8 +26,8 @@
 	// Watching tells that it watches the store; SourceError is why not.
 	Watching    bool   `json:"watching"`
 	SourceError string `json:"source_error"`
-	// Behind lists keys of which the store offered an older state.
-	Behind []Behind `json:"behind"`
+	// StaleOffers lists keys of which the store offered an older state.
+	StaleOffers []StaleOffer `json:"behind"`
 	// Unsent is how many published items no watcher has taken yet.
 	Unsent int `json:"unsent"`
 	// Peers are the nodes heard so far; one not listed was not heard.
@@ -40,8 +40,8 @@
 	Incarnation uint64 `json:"incarnation"`
 	// Equal tells that all items were the same HeardAge ago. It says nothing
 	// about now.
-	Equal    bool          `json:"equal"`
-	HeardAge time.Duration `json:"heard_age_ns"`
+	Equal          bool          `json:"equal"`
+	LastContactAge time.Duration `json:"heard_age_ns"`
 	// EqualAge is the time since it was last equal, -1 if it never was.
 	EqualAge time.Duration `json:"equal_age_ns"`
 }
@@ -51,15 +51,15 @@
 	s.noteOwnRead()
 	snap := s.Snapshot()
 	out := Status{
-		VM:       s.options.Ref.Vm,
-		Role:     s.plan.Load().Role.String(),
-		Ready:    s.Ready(),
-		Items:    snap.Len(),
-		Digest:   snap.Digest(),
-		Fed:      s.fed(),
-		StoreAge: s.reads.age(),
-		Unsent:   s.pushes.len(),
-		Peers:    s.heard.list(),
+		VM:           s.options.Ref.Vm,
+		Role:         s.plan.Load().Role.String(),
+		Ready:        s.Ready(),
+		Items:        snap.Len(),
+		Digest:       snap.Digest(),
+		HasStorePath: s.fed(),
+		StoreAge:     s.reads.age(),
+		Unsent:       s.pushes.len(),
+		Peers:        s.heard.list(),
 	}
 	for _, f := range s.follows {
 		if vm, _ := f.state(); vm != "" {
@@ -82,9 +82,9 @@
 		out.SourceError = r.failure.Error()
 	}
 	for _, b := range r.behind {
-		out.Behind = append(out.Behind, b)
+		out.StaleOffers = append(out.StaleOffers, b)
 	}
-	sort.Slice(out.Behind, func(i, j int) bool { return out.Behind[i].Key < out.Behind[j].Key })
+	sort.Slice(out.StaleOffers, func(i, j int) bool { return out.StaleOffers[i].Key < out.StaleOffers[j].Key })
 }
 
 func (q *pushQueue) len() int {
@@ -100,7 +100,7 @@
 	defer t.mu.Unlock()
 	out := make([]PeerStatus, 0, len(t.peers))
 	for vm, p := range t.peers {
-		status := PeerStatus{VM: vm, Incarnation: p.incarnation, Equal: p.equal, HeardAge: now.Sub(p.heardAt), EqualAge: -1}
+		status := PeerStatus{VM: vm, Incarnation: p.incarnation, Equal: p.equal, LastContactAge: now.Sub(p.heardAt), EqualAge: -1}
 		if !p.equalAt.IsZero() {
 			status.EqualAge = now.Sub(p.equalAt)
 		}
--- a/spread/storeread.go
+++ b/spread/storeread.go
@@ -86,9 +86,9 @@
 	Own bool
 }
 
-// NoteListRead tells that this node has read the VM list now. Heartbeats pass
+// RecordListRead tells that this node has read the VM list now. Heartbeats pass
 // it on to those below.
-func (s *Service) NoteListRead(epoch, sequence uint64, at time.Time) {
+func (s *Service) RecordListRead(epoch, sequence uint64, at time.Time) {
 	s.listReads.note(reading{watcher: s.readerID, count: s.countOf(at), epoch: epoch, sequence: sequence, at: at})
 }
 
--- a/spread/survey.go
+++ b/spread/survey.go
@@ -20,8 +20,8 @@
 	surveyAtOnce = 64
 )
 
-// SurveyRow tells which state of a key a node had when it answered.
-type SurveyRow struct {
+// NodeVersion tells which state of a key a node had when it answered.
+type NodeVersion struct {
 	VM          string
 	Incarnation uint64
 	// Has is false when it knew no state of the key.
@@ -31,20 +31,20 @@
 	Sum      uint64
 }
 
-// Survey is the answer of the nodes that could be reached.
-type Survey struct {
+// VersionReport is the answer of the nodes that could be reached.
+type VersionReport struct {
 	Key string
 	// Rows holds one row for each node that answered, sorted by VM.
-	Rows []SurveyRow
+	Rows []NodeVersion
 	// Unreachable names listed VMs that did not answer in time; what they have
 	// is not known.
 	Unreachable []string
 }
 
-// Survey asks all nodes for their state of a key: down the tree from the
+// QueryVersions asks all nodes for their state of a key: down the tree from the
 // watchers, then those directly for whom nobody answered. It returns what it
 // has when the context ends, at the latest after four heartbeats.
-func (s *Service) Survey(ctx context.Context, key string) Survey {
+func (s *Service) QueryVersions(ctx context.Context, key string) VersionReport {
 	ctx, cancel := context.WithTimeout(ctx, 4*s.options.Heartbeat)
 	defer cancel()
 	rows := newRowSet()
@@ -130,10 +130,10 @@
 		Sequence:    it.Sequence,
 		Sum:         it.Sum,
 	}
-	if s.options.InForce == nil {
+	if s.options.ActiveVersion == nil {
 		return row
 	}
-	used, known := s.options.InForce(key)
+	used, known := s.options.ActiveVersion(key)
 	if !known {
 		return row
 	}
@@ -195,10 +195,10 @@
 	return out
 }
 
-func (r *rowSet) survey(key string, members []topology.Member) Survey {
-	out := Survey{Key: key}
+func (r *rowSet) survey(key string, members []topology.Member) VersionReport {
+	out := VersionReport{Key: key}
 	for _, row := range r.list() {
-		out.Rows = append(out.Rows, SurveyRow{
+		out.Rows = append(out.Rows, NodeVersion{
 			VM:          row.GetVm(),
 			Incarnation: row.GetIncarnation(),
 			Has:         row.GetHas(),
--- a/spread/topology/fleet.go
+++ b/spread/topology/fleet.go
@@ -29,10 +29,10 @@
 		if m.Leaving {
 			continue
 		}
-		if _, ok := f.ranked[m.Place]; !ok {
-			f.places[m.Region] = append(f.places[m.Region], m.Place)
+		if _, ok := f.ranked[m.FailureDomain]; !ok {
+			f.places[m.Region] = append(f.places[m.Region], m.FailureDomain)
 		}
-		f.ranked[m.Place] = append(f.ranked[m.Place], m)
+		f.ranked[m.FailureDomain] = append(f.ranked[m.FailureDomain], m)
 	}
 	for place, ms := range f.ranked {
 		rank("relay/"+place, ms)
@@ -91,12 +91,12 @@
 // level returns the level of self in its place: the relays are 0, each level
 // below is FanOut times as wide. A VM without a task is one below the last.
 func (f *fleet) level(self Member) int {
-	ranked := f.ranked[self.Place]
+	ranked := f.ranked[self.FailureDomain]
 	at := slices.IndexFunc(ranked, func(m Member) bool { return m.VM == self.VM })
 	if at < 0 {
-		at = max(len(ranked), RelaysPerPlace)
+		at = max(len(ranked), RelaysPerFailureDomain)
 	}
-	level, width := 0, RelaysPerPlace
+	level, width := 0, RelaysPerFailureDomain
 	for at >= width {
 		at -= width
 		width *= FanOut
@@ -107,7 +107,7 @@
 
 // atLevel returns the VMs of one level of a place.
 func (f *fleet) atLevel(place string, level int) []Member {
-	from, width := 0, RelaysPerPlace
+	from, width := 0, RelaysPerFailureDomain
 	for range level {
 		from += width
 		width *= FanOut
--- a/spread/topology/member.go
+++ b/spread/topology/member.go
@@ -8,10 +8,10 @@
 
 // Member is an entry VM.
 type Member struct {
-	VM      string
-	Region  string
-	Place   string
-	Address string
+	VM            string
+	Region        string
+	FailureDomain string
+	Address       string
 	// Leaving VMs are served but chosen for no task.
 	Leaving bool
 }
@@ -25,11 +25,11 @@
 			continue
 		}
 		out = append(out, Member{
-			VM:      vm.ID,
-			Region:  string(vm.Region),
-			Place:   string(vm.Place),
-			Address: vm.Peer.String(),
-			Leaving: vm.State == membership.StateLeaving,
+			VM:            vm.ID,
+			Region:        string(vm.Region),
+			FailureDomain: string(vm.Place),
+			Address:       vm.Peer.String(),
+			Leaving:       vm.State == membership.StateLeaving,
 		})
 	}
 	return out
--- a/spread/topology/plan.go
+++ b/spread/topology/plan.go
@@ -4,13 +4,13 @@
 const (
 	// WatchersPerRegion is how many VMs of a region watch the store.
 	WatchersPerRegion = 2
-	// RelaysPerPlace is how many VMs relay into a failure domain.
-	RelaysPerPlace = 2
+	// RelaysPerFailureDomain is how many VMs relay into a failure domain.
+	RelaysPerFailureDomain = 2
 	// FanOut is how many subscribers a node is planned to serve.
 	FanOut = 16
 	// MaxSubscribers is how many it takes at most: all of a failure domain's
 	// when the other relay is gone.
-	MaxSubscribers = RelaysPerPlace * FanOut
+	MaxSubscribers = RelaysPerFailureDomain * FanOut
 	// maxUpstreams bounds the order in which a node tries others.
 	maxUpstreams = 8
 )
--- a/spread/topology/plan_test.go
+++ b/spread/topology/plan_test.go
@@ -12,9 +12,9 @@
 		for p := range places {
 			for v := range perPlace {
 				out = append(out, Member{
-					VM:     fmt.Sprintf("r%d-p%d-vm%d", r, p, v),
-					Region: fmt.Sprintf("r%d", r),
-					Place:  fmt.Sprintf("r%d-p%d", r, p),
+					VM:            fmt.Sprintf("r%d-p%d-vm%d", r, p, v),
+					Region:        fmt.Sprintf("r%d", r),
+					FailureDomain: fmt.Sprintf("r%d-p%d", r, p),
 				})
 			}
 		}
@@ -88,10 +88,10 @@
 	places := map[string]bool{}
 	for _, m := range members {
 		if Build(members, m).Role == Watcher {
-			if places[m.Place] {
-				t.Fatalf("two watchers in %s", m.Place)
+			if places[m.FailureDomain] {
+				t.Fatalf("two watchers in %s", m.FailureDomain)
 			}
-			places[m.Place] = true
+			places[m.FailureDomain] = true
 		}
 	}
 }
--- a/spread/topology/upstream.go
+++ b/spread/topology/upstream.go
@@ -46,12 +46,12 @@
 // store than self, so no circle can form.
 func (f *fleet) leafUpstreams(self Member, level int) []Member {
 	const fromLevelAbove = 3
-	above := byPreference(self, f.atLevel(self.Place, level-1))
+	above := byPreference(self, f.atLevel(self.FailureDomain, level-1))
 	out := above[:min(fromLevelAbove, len(above))]
-	out = appendNew(out, byPreference(self, f.atLevel(self.Place, 0)))
+	out = appendNew(out, byPreference(self, f.atLevel(self.FailureDomain, 0)))
 	var others []Member
 	for _, place := range f.places[self.Region] {
-		if place != self.Place {
+		if place != self.FailureDomain {
 			relays := byPreference(self, f.atLevel(place, 0))
 			others = append(others, relays[:1]...)
 		}
--- a/spread/transport/pool.go
+++ b/spread/transport/pool.go
@@ -46,9 +46,9 @@
 	return conn, nil
 }
 
-// Forget closes the connections to addresses that keep does not accept, such
+// Retain closes the connections to addresses that keep does not accept, such
 // as those of VMs which left the list.
-func (p *Pool) Forget(keep func(address string) bool) {
+func (p *Pool) Retain(keep func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, conn := range p.conns {
--- a/spread/vmlist_fixture_test.go
+++ b/spread/vmlist_fixture_test.go
@@ -141,7 +141,7 @@
 }
 
 func (l *nodeList) NoteReading(epoch, sequence uint64, at time.Time) {
-	l.NoteListRead(epoch, sequence, at)
+	l.RecordListRead(epoch, sequence, at)
 }
 
 func (l *nodeList) age() time.Duration { return l.view.Current().Age(time.Now()) }
--- a/spread/vmlist_test.go
+++ b/spread/vmlist_test.go
@@ -103,10 +103,10 @@
 	if !ok {
 		f.t.Fatalf("%s has no witness", n.member.VM)
 	}
-	for range 2 * int(DefaultCompareEvery/poll) {
+	for range 2 * int(DefaultCompareInterval/poll) {
 		f.after(poll)
 		for _, peer := range n.Status().Peers {
-			if peer.VM == witness.VM && peer.HeardAge <= poll {
+			if peer.VM == witness.VM && peer.LastContactAge <= poll {
 				return
 			}
 		}
@@ -235,7 +235,7 @@
 	inListFleet(t, func(f *testFleet) {
 		inside := map[string]bool{}
 		for _, n := range f.nodes {
-			if n.member.Place == "r1-p1" {
+			if n.member.FailureDomain == "r1-p1" {
 				inside[n.member.Address] = true
 			}
 		}
--- a/spread/witness.go
+++ b/spread/witness.go
@@ -19,7 +19,7 @@
 // it. What it brings makes the digests differ, and the upstream is then asked
 // or left.
 func (s *Service) runCompare(ctx context.Context) {
-	s.compareEvery(ctx, s.options.CompareEvery, func() (topology.Member, bool) {
+	s.compareEvery(ctx, s.options.CompareInterval, func() (topology.Member, bool) {
 		plan := s.plan.Load()
 		if m, ok := s.alternate(plan); ok {
 			return m, true
@@ -36,7 +36,7 @@
 // the relay that lags itself. The guard holds because the rounds with the
 // witness neither skip one nor wait for a call to another peer.
 func (s *Service) runCompareRandom(ctx context.Context) {
-	s.compareEvery(ctx, randomEvery*s.options.CompareEvery, func() (topology.Member, bool) {
+	s.compareEvery(ctx, randomEvery*s.options.CompareInterval, func() (topology.Member, bool) {
 		return s.randomPeer(s.plan.Load())
 	})
 }
