--- a/bench/scenario/blocks.go
+++ b/bench/scenario/blocks.go
@@ -115,7 +115,7 @@
 	for ctx.Err() == nil {
 		for range batch {
 			block, _, _ := w.current.Load().Find(w.sample.Addresses[at])
-			w.sites.Of(block.Hash)
+			w.sites.Site(block.Hash)
 			if at++; at == len(w.sample.Addresses) {
 				at = 0
 			}
--- a/bench/scenario/members.go
+++ b/bench/scenario/members.go
@@ -54,7 +54,7 @@
 
 func measureMembers(count int) ([]report.Metric, error) {
 	list := mixedList(count)
-	answer := wire.ListAnswer{Sequence: 1}
+	answer := wire.ListResponse{Sequence: 1}
 	for _, vm := range list.VMs {
 		answer.VMs = append(answer.VMs, wire.FromVM(vm))
 	}
@@ -105,7 +105,7 @@
 }
 
 func readList(body []byte) error {
-	var answer wire.ListAnswer
+	var answer wire.ListResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return err
 	}
--- a/lookup/sites/table.go
+++ b/lookup/sites/table.go
@@ -39,8 +39,8 @@
 	return t
 }
 
-// Of returns the site of a block, given the block's hash.
-func (t *Table) Of(blockHash uint32) model.PlaceName {
+// Site returns the site of a block, given the block's hash.
+func (t *Table) Site(blockHash uint32) model.PlaceName {
 	return t.names[t.buckets[blockHash%Buckets]]
 }
 
--- a/lookup/sites/table_test.go
+++ b/lookup/sites/table_test.go
@@ -27,7 +27,7 @@
 	table := New(f)
 	got := make(map[model.PlaceName]float64)
 	for bucket := range uint32(Buckets) {
-		got[table.Of(bucket)] += 1.0 / Buckets
+		got[table.Site(bucket)] += 1.0 / Buckets
 	}
 	for _, share := range f.Shares {
 		want := float64(share.PPM) / plan.Whole
@@ -46,7 +46,7 @@
 	after.Shares[80].PPM = 0
 	old, next := New(before), New(after)
 	for bucket := range uint32(Buckets) {
-		from, to := old.Of(bucket), next.Of(bucket)
+		from, to := old.Site(bucket), next.Site(bucket)
 		if from != to && from != dropped {
 			t.Fatalf("bucket %d moved from %s to %s", bucket, from, to)
 		}
@@ -79,7 +79,7 @@
 			i := 0
 			for b.Loop() {
 				block, _ := prefixes.Find(sample.Addresses[i])
-				if table.Of(block.Hash) == "" {
+				if table.Site(block.Hash) == "" {
 					b.Fatal("no site")
 				}
 				if i++; i == count {
--- a/membership/feed/feed.go
+++ b/membership/feed/feed.go
@@ -24,8 +24,8 @@
 	Own bool
 }
 
-// Spread is what the feed needs of the spreading between nodes.
-type Spread interface {
+// Replicator is what the feed needs of the spreading between nodes.
+type Replicator interface {
 	// Ready reports whether this node has learned what its peers hold.
 	Ready() bool
 	// Watching reports whether this node reads the list for others.
@@ -36,14 +36,14 @@
 	Part(key string) (epoch, sequence uint64, body []byte)
 	// Reading returns the last reading by any node, as far as is known here.
 	Reading() (Reading, bool)
-	// NoteReading tells the others of a reading by this node.
-	NoteReading(epoch, sequence uint64, at time.Time)
+	// RecordReading tells the others of a reading by this node.
+	RecordReading(epoch, sequence uint64, at time.Time)
 }
 
 // Feed keeps the view of one node up to date.
 type Feed struct {
 	lister  membership.Lister
-	spread  Spread
+	spread  Replicator
 	view    *view.View
 	options Options
 	log     logrus.FieldLogger
@@ -68,7 +68,7 @@
 }
 
 // New returns a feed that does nothing until Run.
-func New(lister membership.Lister, spread Spread, target *view.View, options Options) *Feed {
+func New(lister membership.Lister, spread Replicator, target *view.View, options Options) *Feed {
 	options = options.withDefaults()
 	return &Feed{
 		lister:  lister,
@@ -93,9 +93,9 @@
 	}
 }
 
-// Take takes in one part that another node or this one published. Parts under
+// Apply takes in one part that another node or this one published. Parts under
 // other keys are left out.
-func (f *Feed) Take(key string, epoch, sequence uint64, body []byte) {
+func (f *Feed) Apply(key string, epoch, sequence uint64, body []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.put(key, version{epoch, sequence}, body) {
@@ -161,7 +161,7 @@
 		at = snapshot.ReadAt
 	}
 	f.last.shown = vms
-	f.view.Take(membership.List{VMs: vms, Epoch: f.held.epoch, Sequence: f.held.sequence}, at)
+	f.view.Update(membership.List{VMs: vms, Epoch: f.held.epoch, Sequence: f.held.sequence}, at)
 }
 
 // confirm takes over the last reading by another node, if it was of the list
--- a/membership/feed/partset.go
+++ b/membership/feed/partset.go
@@ -50,11 +50,11 @@
 	if old.version.later(v) {
 		return 0, nil
 	}
-	rows, unread, err := parts.Rows(body)
+	rows, unread, err := parts.Decode(body)
 	if err != nil {
 		return 0, err
 	}
-	s.sum += parts.Sum(key, body) - parts.Sum(key, []byte(old.body))
+	s.sum += parts.Hash(key, body) - parts.Hash(key, []byte(old.body))
 	s.parts[key] = part{version: v, body: string(body), rows: rows}
 	return unread, nil
 }
--- a/membership/feed/read.go
+++ b/membership/feed/read.go
@@ -136,7 +136,7 @@
 		return
 	}
 	f.others = 0
-	f.spread.NoteReading(read.epoch, read.sequence, at)
+	f.spread.RecordReading(read.epoch, read.sequence, at)
 	if f.held == read {
 		f.show(f.last.shown, at)
 	}
--- a/membership/httplist/lister.go
+++ b/membership/httplist/lister.go
@@ -103,7 +103,7 @@
 }
 
 func (l *Lister) decode(body io.Reader) (membership.List, error) {
-	var answer wire.ListAnswer
+	var answer wire.ListResponse
 	err := json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(&answer)
 	if err != nil {
 		return membership.List{}, unavailable(err)
--- a/membership/parts/parts.go
+++ b/membership/parts/parts.go
@@ -64,13 +64,13 @@
 func (b Bodies) Digest() uint64 {
 	var digest uint64
 	for key, body := range b {
-		digest += Sum(key, body)
+		digest += Hash(key, body)
 	}
 	return digest
 }
 
-// Sum is the hash of one part; one without rows counts as none.
-func Sum(key string, body []byte) uint64 {
+// Hash is the hash of one part; one without rows counts as none.
+func Hash(key string, body []byte) uint64 {
 	if len(body) == 0 {
 		return 0
 	}
@@ -81,9 +81,9 @@
 	return d.Sum64()
 }
 
-// Rows decodes a part. Rows that can't be read are left out and counted: one
+// Decode decodes a part. Decode that can't be read are left out and counted: one
 // of a newer release must not hide all others.
-func Rows(body []byte) (vms []membership.VM, unread int, err error) {
+func Decode(body []byte) (vms []membership.VM, unread int, err error) {
 	message := &peerpb.ListRows{}
 	if err := proto.Unmarshal(body, message); err != nil {
 		return nil, 0, errors.Wrap(err, "membership: decode rows")
--- a/membership/parts/parts_test.go
+++ b/membership/parts/parts_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, unread, err := Rows(bodies[keyOf(vm.ID)])
+		got, unread, err := Decode(bodies[keyOf(vm.ID)])
 		if err != nil || unread != 0 || !slices.Equal(got, []membership.VM{vm}) {
 			t.Errorf("%+v became %+v, %d left out, %v", vm, got, unread, err)
 		}
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, unread, err := Rows(body)
+	got, unread, err := Decode(body)
 	if err != nil || unread != 1 || !slices.Equal(got, []membership.VM{entry("a")}) {
 		t.Errorf("%+v, %d left out, %v", got, unread, err)
 	}
--- a/membership/view/record.go
+++ b/membership/view/record.go
@@ -53,9 +53,9 @@
 }
 
 func (o Options) hold(returns int) time.Duration {
-	hold := o.ReturnHold
-	for i := 1; i < returns && hold < o.MaxHold; i++ {
+	hold := o.HoldDown
+	for i := 1; i < returns && hold < o.MaxHoldDown; i++ {
 		hold *= 2
 	}
-	return min(hold, o.MaxHold)
+	return min(hold, o.MaxHoldDown)
 }
--- a/membership/view/snapshot.go
+++ b/membership/view/snapshot.go
@@ -11,16 +11,16 @@
 	// List is what may be used: no VM twice, no address twice, no VM that
 	// only just returned.
 	List membership.List
-	// Version grows by one with each change of List or Gone.
+	// Version grows by one with each change of List or Absent.
 	Version uint64
 	// ReadAt is when the last good answer of the platform came.
 	ReadAt time.Time
-	// Gone are the VMs that were listed once and are not now, by ID.
-	Gone []Gone
+	// Absent are the VMs that were listed once and are not now, by ID.
+	Absent []AbsentVM
 }
 
-// Gone is a VM that the platform listed and lists no longer.
-type Gone struct {
+// AbsentVM is a VM that the platform listed and lists no longer.
+type AbsentVM struct {
 	VM membership.VM
 	// Since is when the first answer without the VM came, Confirmed when the
 	// last one did.
@@ -28,9 +28,9 @@
 	Confirmed time.Time
 }
 
-// Absent is for how long answers have shown the VM as gone. It stands still
+// Duration is for how long answers have shown the VM as gone. It stands still
 // while the platform does not answer: the VM may have returned unseen.
-func (g Gone) Absent() time.Duration {
+func (g AbsentVM) Duration() time.Duration {
 	return g.Confirmed.Sub(g.Since)
 }
 
--- a/membership/view/tracker.go
+++ b/membership/view/tracker.go
@@ -48,7 +48,7 @@
 	next := &Snapshot{
 		List:    membership.List{VMs: shown, Epoch: list.Epoch, Sequence: list.Sequence},
 		ReadAt:  now,
-		Gone:    t.gone(now),
+		Absent:  t.gone(now),
 		Version: t.last.Version,
 	}
 	if changed(t.last, next) {
@@ -96,13 +96,13 @@
 	for id, r := range t.records {
 		switch {
 		case r.listed:
-		case now.Sub(r.since) > t.options.KeepGone:
+		case now.Sub(r.since) > t.options.AbsentRetention:
 			delete(t.records, id)
 		default:
 			gone = append(gone, r)
 		}
 	}
-	excess := len(gone) - t.options.MaxGone
+	excess := len(gone) - t.options.MaxAbsent
 	if excess <= 0 {
 		return
 	}
@@ -160,18 +160,18 @@
 	) > 0
 }
 
-func (t *tracker) gone(now time.Time) []Gone {
-	var gone []Gone
+func (t *tracker) gone(now time.Time) []AbsentVM {
+	var gone []AbsentVM
 	for _, r := range t.records {
 		if !r.listed {
-			gone = append(gone, Gone{VM: r.vm, Since: r.since, Confirmed: now})
+			gone = append(gone, AbsentVM{VM: r.vm, Since: r.since, Confirmed: now})
 		}
 	}
-	slices.SortFunc(gone, func(a, b Gone) int { return strings.Compare(a.VM.ID, b.VM.ID) })
+	slices.SortFunc(gone, func(a, b AbsentVM) int { return strings.Compare(a.VM.ID, b.VM.ID) })
 	return gone
 }
 
 func changed(before, after *Snapshot) bool {
 	return !slices.Equal(before.List.VMs, after.List.VMs) ||
-		!slices.EqualFunc(before.Gone, after.Gone, func(a, b Gone) bool { return a.VM.ID == b.VM.ID })
+		!slices.EqualFunc(before.Absent, after.Absent, func(a, b AbsentVM) bool { return a.VM.ID == b.VM.ID })
 }
--- a/membership/view/view.go
+++ b/membership/view/view.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// Take takes in a list that the platform gave at readAt. A list older than the
+// Update takes in a list that the platform gave at readAt. A list older than the
 // last one, and a reading older than the last one, are left out.
-func (v *View) Take(list membership.List, readAt time.Time) {
+func (v *View) Update(list membership.List, readAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	before := v.tracker.last
--- a/membership/view/view_test.go
+++ b/membership/view/view_test.go
@@ -44,7 +44,7 @@
 	return strings.Join(names, " ")
 }
 
-func goneIDs(gone []Gone) string {
+func goneIDs(gone []AbsentVM) string {
 	var names []string
 	for _, g := range gone {
 		names = append(names, g.VM.ID)
@@ -67,21 +67,21 @@
 		v := New(Options{})
 		calls := 0
 		v.Subscribe(func(*Snapshot, Change) { calls++ })
-		v.Take(*list(1, target("a", 1), target("b", 2)), time.Now())
+		v.Update(*list(1, target("a", 1), target("b", 2)), time.Now())
 		time.Sleep(interval)
 		last := time.Now()
-		v.Take(*list(2, target("a", 1)), last)
+		v.Update(*list(2, target("a", 1)), last)
 		for range 1800 {
 			time.Sleep(interval)
-			v.Take(*list(2, target("a", 1)), last)
+			v.Update(*list(2, target("a", 1)), last)
 		}
 		s := v.Current()
 		mustShow(t, s, "a")
 		if age := s.Age(time.Now()); age < time.Hour-2*interval {
 			t.Errorf("age %s after an hour without an answer", age)
 		}
-		if len(s.Gone) != 1 || s.Gone[0].Absent() > interval {
-			t.Errorf("gone: %+v, want b absent for at most one interval", s.Gone)
+		if len(s.Absent) != 1 || s.Absent[0].Duration() > interval {
+			t.Errorf("gone: %+v, want b absent for at most one interval", s.Absent)
 		}
 		if calls != 2 {
 			t.Errorf("subscriber calls: %d, want 2", calls)
@@ -98,8 +98,8 @@
 	before := tr.fold(*list(1, target("a", 1), target("c", 3)), now)
 	both := tr.fold(*list(2, target("a", 1), target("b", 1), target("c", 3)), now.Add(time.Second))
 	mustShow(t, both, "b c")
-	if len(both.Gone) != 0 {
-		t.Errorf("gone %q although still listed", goneIDs(both.Gone))
+	if len(both.Absent) != 0 {
+		t.Errorf("gone %q although still listed", goneIDs(both.Absent))
 	}
 	want := []Replacement{{Old: target("a", 1), New: target("b", 1)}}
 	got := Diff(before.List.VMs, both.List.VMs).Replaced
@@ -164,7 +164,7 @@
 	}
 	vms := []membership.VM{target("a", 1), target("b", 2)}
 	tr.fold(membership.List{VMs: vms, Sequence: 2000}, now)
-	s := tr.fold(membership.List{VMs: vms, Sequence: 2001}, now.Add(DefaultMaxHold))
+	s := tr.fold(membership.List{VMs: vms, Sequence: 2001}, now.Add(DefaultMaxHoldDown))
 	mustShow(t, s, "a b")
 }
 
@@ -205,7 +205,7 @@
 		t.Fatalf("not sorted: %s", ids(s.List.VMs))
 	}
 	gone := map[string]bool{}
-	for _, g := range s.Gone {
+	for _, g := range s.Absent {
 		gone[g.VM.ID] = true
 	}
 	for id := range seen {
--- a/membership/wire/wire.go
+++ b/membership/wire/wire.go
@@ -21,8 +21,8 @@
 	Peer    string `json:"peer,omitempty"`
 }
 
-// ListAnswer is the list at one sequence.
-type ListAnswer struct {
+// ListResponse is the list at one sequence.
+type ListResponse struct {
 	Sequence uint64 `json:"sequence"`
 	// VMs is present, as an empty list, also when there are none.
 	VMs []VM `json:"vms"`
--- a/node/vmlist.go
+++ b/node/vmlist.go
@@ -26,7 +26,7 @@
 		Logger:   n.log,
 	})
 	n.spread.OnItem(parts.Prefix, func(it item.Item) {
-		n.feed.Take(it.Key, it.Epoch, it.Sequence, it.Body)
+		n.feed.Apply(it.Key, it.Epoch, it.Sequence, it.Body)
 	})
 	return nil
 }
@@ -65,7 +65,7 @@
 // listSpread is what the feed uses of the spreading.
 type listSpread struct{ service *spread.Service }
 
-var _ feed.Spread = listSpread{}
+var _ feed.Replicator = listSpread{}
 
 func (l listSpread) Ready() bool    { return l.service.Ready() }
 func (l listSpread) Watching() bool { return l.service.Watching() }
@@ -84,6 +84,6 @@
 	return feed.Reading(read), ok
 }
 
-func (l listSpread) NoteReading(epoch, sequence uint64, at time.Time) {
+func (l listSpread) RecordReading(epoch, sequence uint64, at time.Time) {
 	l.service.NoteListRead(epoch, sequence, at)
 }
--- a/spread/vmlist_fixture_test.go
+++ b/spread/vmlist_fixture_test.go
@@ -92,7 +92,7 @@
 	seeds    atomic.Pointer[membership.VM]
 }
 
-var _ feed.Spread = (*nodeList)(nil)
+var _ feed.Replicator = (*nodeList)(nil)
 
 func newNodeList() *nodeList {
 	l := &nodeList{view: view.New(view.Options{})}
@@ -113,7 +113,7 @@
 		Seed:   seed,
 		Logger: log,
 	})
-	s.OnItem(parts.Prefix, func(it item.Item) { l.feed.Take(it.Key, it.Epoch, it.Sequence, it.Body) })
+	s.OnItem(parts.Prefix, func(it item.Item) { l.feed.Apply(it.Key, it.Epoch, it.Sequence, it.Body) })
 }
 
 func (l *nodeList) findSeeds(context.Context) []membership.VM {
@@ -140,7 +140,7 @@
 	return feed.Reading(read), ok
 }
 
-func (l *nodeList) NoteReading(epoch, sequence uint64, at time.Time) {
+func (l *nodeList) RecordReading(epoch, sequence uint64, at time.Time) {
 	l.NoteListRead(epoch, sequence, at)
 }
 
--- a/standin/platform/vmlist.go
+++ b/standin/platform/vmlist.go
@@ -11,7 +11,7 @@
 // version is the list as it was from one moment on.
 type version struct {
 	since time.Time
-	list  wire.ListAnswer
+	list  wire.ListResponse
 }
 
 // vmList shows each change only after the lag.
@@ -22,7 +22,7 @@
 }
 
 func newVMList(lag time.Duration) *vmList {
-	empty := version{list: wire.ListAnswer{VMs: []wire.VM{}}}
+	empty := version{list: wire.ListResponse{VMs: []wire.VM{}}}
 	return &vmList{lag: lag, versions: []version{empty}}
 }
 
@@ -37,7 +37,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	newest := l.versions[len(l.versions)-1].list
-	next := wire.ListAnswer{
+	next := wire.ListResponse{
 		Sequence: newest.Sequence + 1,
 		VMs:      edit(slices.Clone(newest.VMs)),
 	}
@@ -46,7 +46,7 @@
 
 // visible returns the newest version older than the lag and drops those
 // before it.
-func (l *vmList) visible() wire.ListAnswer {
+func (l *vmList) visible() wire.ListResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
