--- a/membership/feed/feed.go
+++ b/membership/feed/feed.go
@@ -1,6 +1,6 @@
-// Package feed gives a node the VM list. Few nodes, the watchers, read it from
-// the platform and spread what changed; the others take it from them, and read
-// it themselves while spreading fails.
+// Package feed keeps a node's view of the VM list up to date. A few nodes, the
+// watchers, poll the platform and publish changes; the others receive the
+// changes, and poll the platform themselves while replication fails.
 package feed
 
 import (
@@ -16,109 +16,108 @@
 	"github.com/yuccaroute/yuccaroute/membership/view"
 )
 
-// Reading is what is known of the last reading of the newest list.
+// Reading identifies the last read of the newest list by any node.
 type Reading struct {
 	Epoch, Sequence uint64
 	At              time.Time
-	// Own tells that this node made it.
+	// Own is true if this node made the read.
 	Own bool
 }
 
-// Replicator is what the feed needs of the spreading between nodes.
+// Replicator replicates the parts of the list between nodes.
 type Replicator interface {
-	// Ready reports whether this node has learned what its peers hold.
+	// Ready reports whether this node has synchronized with its peers.
 	Ready() bool
-	// Watching reports whether this node reads the list for others.
+	// Watching reports whether this node is a watcher.
 	Watching() bool
-	// Publish spreads one part of the list, unless a later one is known.
+	// Publish sends one part of the list to all nodes, unless a newer one is
+	// known.
 	Publish(key string, epoch, sequence uint64, body []byte) error
-	// Part returns the latest part known here.
+	// Part returns the newest part known to this node.
 	Part(key string) (epoch, sequence uint64, body []byte)
-	// Reading returns the last reading by any node, as far as is known here.
+	// Reading returns the last read by any node that is known to this node.
 	Reading() (Reading, bool)
-	// RecordReading tells the others of a reading by this node.
+	// RecordReading announces a read by this node to the other nodes.
 	RecordReading(epoch, sequence uint64, at time.Time)
 }
 
 // Feed keeps the view of one node up to date.
 type Feed struct {
-	lister  membership.Lister
-	spread  Replicator
-	view    *view.View
-	options Options
-	log     logrus.FieldLogger
-	rand    *rand.Rand
-	started time.Time
+	lister     membership.Lister
+	replicator Replicator
+	view       *view.View
+	options    Options
+	log        logrus.FieldLogger
+	rand       *rand.Rand
+	started    time.Time
 
 	mu    sync.Mutex
 	parts partSet
-	// held is the list that the view has.
-	held version
-	// spreadAt is the last reading of the held list by another node.
-	spreadAt time.Time
-	// others counts readings in a row that were not the list in force.
-	others int
-	last   split
-	seeds  membership.List
-
-	// What follows belongs to Run.
-	nextRead time.Time
-	failures int
-	out      bool
+	// current is the version of the list in the view.
+	current version
+	// peerReadAt is when another node last read the current list.
+	peerReadAt time.Time
+	// mismatches counts consecutive readings that differ from the current list.
+	mismatches int
+	last       splitList
+	seeds      membership.List
+
+	// The fields below are used by Run only.
+	nextRead    time.Time
+	failures    int
+	unavailable bool
 }
 
-// New returns a feed that does nothing until Run.
-func New(lister membership.Lister, spread Replicator, target *view.View, options Options) *Feed {
+// New returns a feed that does not poll until Run is called.
+func New(lister membership.Lister, replicator Replicator, target *view.View, options Options) *Feed {
 	options = options.withDefaults()
 	return &Feed{
-		lister:  lister,
-		spread:  spread,
-		view:    target,
-		options: options,
-		log:     options.Logger,
-		rand:    rand.New(rand.NewPCG(options.Seed, ^options.Seed)),
-		started: time.Now(),
-		parts:   newPartSet(),
+		lister:     lister,
+		replicator: replicator,
+		view:       target,
+		options:    options,
+		log:        options.Logger,
+		rand:       rand.New(rand.NewPCG(options.Seed, ^options.Seed)),
+		started:    time.Now(),
+		parts:      newPartSet(),
 	}
 }
 
-// Run reads or waits for the list until the context ends.
+// Run polls the platform or follows other nodes until the context is done.
 func (f *Feed) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		f.confirm()
+		f.applyLastReading()
 		if f.due(time.Now()) {
 			f.read(ctx)
 		}
-		wait.For(ctx, f.options.Interval-f.random(time.Duration(jitterShare*float64(f.options.Interval))))
+		wait.For(ctx, f.options.Interval-f.randomBelow(time.Duration(jitterShare*float64(f.options.Interval))))
 	}
 }
 
-// Apply takes in one part that another node or this one published. Parts under
-// other keys are left out.
+// Apply stores one part that this node or another one published.
 func (f *Feed) Apply(key string, epoch, sequence uint64, body []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.put(key, version{epoch, sequence}, body) {
-		f.assemble()
+	if f.store(key, version{epoch, sequence}, body) {
+		f.activateIfComplete()
 	}
 }
 
-// put notes a part and reports whether it could be read.
-func (f *Feed) put(key string, v version, body []byte) bool {
+// store adds a part and reports whether it could be decoded.
+func (f *Feed) store(key string, v version, body []byte) bool {
 	log := f.log.WithField("item", key)
-	unread, err := f.parts.put(key, v, body)
+	skipped, err := f.parts.put(key, v, body)
 	if err != nil {
-		log.WithError(err).Error("membership: cannot read a part of the list")
+		log.WithError(err).Error("membership: cannot decode part of the list")
 		return false
 	}
-	if unread > 0 {
-		log.Warnf("membership: %d rows left out", unread)
+	if skipped > 0 {
+		log.Warnf("membership: skipped %d invalid rows", skipped)
 	}
 	return true
 }
 
-// Members returns the list in force; before there is one, the nodes from which
-// the list can be learned.
+// Members returns the current list, or the seed nodes before there is one.
 func (f *Feed) Members() membership.List {
 	if snapshot := f.view.Current(); snapshot != nil {
 		return snapshot.List
@@ -128,53 +127,48 @@
 	return f.seeds
 }
 
-// assemble puts the list that was spread in force, once all its parts are
-// there.
-//
-// Guard against a list that never was: parts arrive one by one and by several
-// ways, and a part from a relay that lags may be older than the others. A VM
-// would be missing, or one that ended would be back. The digest is that of one
-// reading, so a mixture does not have it.
-func (f *Feed) assemble() {
-	if !f.parts.complete() || !f.parts.head.later(f.held) {
+// activateIfComplete moves the view to the newest replicated list if its parts
+// match the digest. Parts arrive independently, so without the digest the view
+// could mix rows of different lists.
+func (f *Feed) activateIfComplete() {
+	if !f.parts.complete() || !f.parts.head.newerThan(f.current) {
 		return
 	}
-	f.held = f.parts.head
-	f.others = 0
-	f.show(f.parts.list(), f.readAt())
+	f.current = f.parts.head
+	f.mismatches = 0
+	f.updateView(f.parts.list(), f.readAt())
 }
 
-// readAt returns when the held list was last read, as far as is known. The list
-// may come before the news of its reading, which must count then though it was
-// long ago; so a list of unknown age counts as older than any real one.
+// readAt returns when the current list was last read. The list may arrive before
+// its Reading; until then its age is set so high that the Reading, when it
+// arrives, is always newer.
 func (f *Feed) readAt() time.Time {
-	if reading, ok := f.spread.Reading(); ok && f.held == (version{reading.Epoch, reading.Sequence}) {
+	if reading, ok := f.replicator.Reading(); ok && f.current == (version{reading.Epoch, reading.Sequence}) {
 		return reading.At
 	}
 	return f.started.Add(-unknownAge)
 }
 
-// show gives a list to the view. A newer list is at least as fresh as the one
-// before.
-func (f *Feed) show(vms []membership.VM, at time.Time) {
+// updateView passes a list to the view. The read time never goes back.
+func (f *Feed) updateView(vms []membership.VM, at time.Time) {
 	if snapshot := f.view.Current(); snapshot != nil && snapshot.ReadAt.After(at) {
 		at = snapshot.ReadAt
 	}
-	f.last.shown = vms
-	f.view.Update(membership.List{VMs: vms, Epoch: f.held.epoch, Sequence: f.held.sequence}, at)
+	f.last.inView = vms
+	f.view.Update(membership.List{VMs: vms, Epoch: f.current.epoch, Sequence: f.current.sequence}, at)
 }
 
-// confirm takes over the last reading by another node, if it was of the list
-// that this node has.
-func (f *Feed) confirm() {
-	reading, ok := f.spread.Reading()
+// applyLastReading updates the age of the current list from the last Reading, if
+// that was of the same list.
+func (f *Feed) applyLastReading() {
+	reading, ok := f.replicator.Reading()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !ok || f.held != (version{reading.Epoch, reading.Sequence}) {
+	if !ok || f.current != (version{reading.Epoch, reading.Sequence}) {
 		return
 	}
-	if !reading.Own && reading.At.After(f.spreadAt) {
-		f.spreadAt = reading.At
+	if !reading.Own && reading.At.After(f.peerReadAt) {
+		f.peerReadAt = reading.At
 	}
-	f.show(f.last.shown, reading.At)
+	f.updateView(f.last.inView, reading.At)
 }
--- a/membership/feed/options.go
+++ b/membership/feed/options.go
@@ -18,32 +18,33 @@
 )
 
 const (
-	// jitterShare of each wait is random, so that nodes do not read together.
+	// jitterShare is the random share of each wait, so that nodes do not poll
+	// in step.
 	jitterShare = 0.2
-	// otherLimit is how many readings in a row must differ from the list in
-	// force before the platform is taken to have started counting anew.
-	otherLimit = 5
-	// unknownAge is how long before the start of the node a list of unknown age
-	// counts as read.
+	// mismatchLimit is how many consecutive readings must differ from the
+	// current list before the platform's sequence is assumed to be reset.
+	mismatchLimit = 5
+	// unknownAge is the age at the start of the node that is assumed for a list
+	// without a known read time.
 	unknownAge = 24 * time.Hour
-	// maxFirstWait bounds the wait between the tries of a node that has no list.
-	maxFirstWait = 10 * time.Second
+	// maxBootstrapWait bounds the retry interval of a node without a list.
+	maxBootstrapWait = 10 * time.Second
 )
 
-// Options sets when the list is read.
+// Options configures when the list is read.
 type Options struct {
-	// Interval is the time between two readings by a watcher.
+	// Interval is the poll interval of a watcher.
 	Interval time.Duration
-	// StaleAfter is for how long nobody may have read the list in force before
-	// a node reads it itself.
+	// StaleAfter is how long after the last read of the current list by another
+	// node a node polls the platform itself.
 	StaleAfter time.Duration
-	// ReadsPerSecond bounds the readings of all nodes that are not watchers, in
-	// sum; each takes an equal share of it.
+	// ReadsPerSecond bounds the total rate of reads by nodes that are not
+	// watchers; each node uses an equal share.
 	ReadsPerSecond float64
-	// Seeds returns nodes to learn from while the platform gives no list to a
-	// node that has none; nil or none when none are known.
+	// Seeds returns nodes to get the list from when this node has none and the
+	// platform is unavailable. It may be nil.
 	Seeds func(context.Context) []membership.VM
-	// Seed makes the jitter repeatable; nodes must differ.
+	// Seed is the random seed of the jitter; it must differ between nodes.
 	Seed uint64
 	// Logger defaults to logrus' standard logger.
 	Logger logrus.FieldLogger
--- a/membership/feed/partset.go
+++ b/membership/feed/partset.go
@@ -13,66 +13,67 @@
 	epoch, sequence uint64
 }
 
-func (v version) later(other version) bool {
+func (v version) newerThan(other version) bool {
 	if v.epoch != other.epoch {
 		return v.epoch > other.epoch
 	}
 	return v.sequence > other.sequence
 }
 
-// part is one part of the list as it was last spread.
+// part is one replicated part of the list.
 type part struct {
 	version version
 	body    string
 	rows    []membership.VM
 }
 
-// partSet is the list as it was last spread.
+// partSet holds the replicated parts and the head of the list.
 type partSet struct {
 	parts map[string]part
-	// sum is the digest over parts.
-	sum uint64
-	// head names the newest list, digest is that of its parts.
-	head   version
-	digest uint64
-	known  bool
+	// partsDigest is the digest of parts.
+	partsDigest uint64
+	// head is the version of the newest list and headDigest its digest, if
+	// hasHead is set.
+	head       version
+	headDigest uint64
+	hasHead    bool
 }
 
 func newPartSet() partSet { return partSet{parts: map[string]part{}} }
 
-// put takes in a part, unless a later one is there. Unread counts rows that
-// were left out.
-func (s *partSet) put(key string, v version, body []byte) (unread int, err error) {
+// put stores a part unless it is older than the one stored. It returns the number
+// of invalid rows that were skipped.
+func (s *partSet) put(key string, v version, body []byte) (skipped int, err error) {
 	if key == parts.HeadKey {
 		return 0, s.putHead(v, body)
 	}
 	old := s.parts[key]
-	if old.version.later(v) {
+	if old.version.newerThan(v) {
 		return 0, nil
 	}
-	rows, unread, err := parts.Decode(body)
+	rows, skipped, err := parts.Decode(body)
 	if err != nil {
 		return 0, err
 	}
-	s.sum += parts.Hash(key, body) - parts.Hash(key, []byte(old.body))
+	s.partsDigest += parts.Hash(key, body) - parts.Hash(key, []byte(old.body))
 	s.parts[key] = part{version: v, body: string(body), rows: rows}
-	return unread, nil
+	return skipped, nil
 }
 
 func (s *partSet) putHead(v version, body []byte) error {
-	if s.known && s.head.later(v) {
+	if s.hasHead && s.head.newerThan(v) {
 		return nil
 	}
 	digest, err := parts.DecodeHead(body)
 	if err != nil {
 		return err
 	}
-	s.head, s.digest, s.known = v, digest, true
+	s.head, s.headDigest, s.hasHead = v, digest, true
 	return nil
 }
 
-// complete reports whether the parts are those of the newest list.
-func (s *partSet) complete() bool { return s.known && s.sum == s.digest }
+// complete reports whether the parts match the digest of the newest list.
+func (s *partSet) complete() bool { return s.hasHead && s.partsDigest == s.headDigest }
 
 // list returns the rows of all parts, sorted by ID.
 func (s *partSet) list() []membership.VM {
@@ -84,9 +85,9 @@
 	return vms
 }
 
-// differing returns the keys of the parts that are not as in bodies. Those that
-// hold no rows any more are among them.
-func (s *partSet) differing(bodies parts.Bodies) []string {
+// changedKeys returns the sorted keys of the parts that differ from bodies,
+// including parts that are now empty.
+func (s *partSet) changedKeys(bodies parts.Bodies) []string {
 	var keys []string
 	for key, body := range bodies {
 		if s.parts[key].body != string(body) {
--- a/membership/feed/read.go
+++ b/membership/feed/read.go
@@ -8,46 +8,42 @@
 	"github.com/yuccaroute/yuccaroute/membership/parts"
 )
 
-// split is the last reading in parts. A reading that did not change has the
-// same rows in memory, and is not divided again.
-type split struct {
+// splitList is the last reading and its encoded parts.
+type splitList struct {
 	sequence uint64
 	vms      []membership.VM
 	bodies   parts.Bodies
 	digest   uint64
-	// shown are the rows last given to the view.
-	shown []membership.VM
+	// inView holds the rows last passed to the view.
+	inView []membership.VM
 }
 
-// due reports whether this node reads the list now.
-//
-// Guard against nodes that learn of no change because spreading fails on the
-// way to them, which shows in that nobody is known to have read the list they
-// have. All nodes may find that at one moment, so each waits for a random part
-// of its share of the rate that is permitted for all.
+// due reports whether this node reads the list now. A node that is not a watcher
+// reads it when no recent read by another node is known, after a random delay:
+// all nodes may get into that state at once.
 func (f *Feed) due(now time.Time) bool {
-	if f.spread.Watching() {
+	if f.replicator.Watching() {
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now.Sub(f.spreadAt) <= f.options.StaleAfter {
+	if now.Sub(f.peerReadAt) <= f.options.StaleAfter {
 		f.nextRead = time.Time{}
 		return false
 	}
 	if f.nextRead.IsZero() {
-		f.nextRead = now.Add(f.random(f.wait()))
+		f.nextRead = now.Add(f.randomBelow(f.pollInterval()))
 	}
 	return !now.Before(f.nextRead)
 }
 
-// wait is the time between two readings by a node that is not a watcher. A node
-// without a list does not know how many others there are; it tries less and
-// less often.
-func (f *Feed) wait() time.Duration {
+// pollInterval returns the poll interval of a node that is not a watcher: its
+// share of ReadsPerSecond. A node without a list does not know the number of
+// nodes and backs off exponentially instead.
+func (f *Feed) pollInterval() time.Duration {
 	snapshot := f.view.Current()
 	if snapshot == nil {
-		return min(f.options.Interval<<min(f.failures, 10), maxFirstWait)
+		return min(f.options.Interval<<min(f.failures, 10), maxBootstrapWait)
 	}
 	nodes := 0
 	for i := range snapshot.List.VMs {
@@ -59,32 +55,32 @@
 	return max(share, f.options.Interval)
 }
 
-// random returns a time between 0 and d.
-func (f *Feed) random(d time.Duration) time.Duration {
+// randomBelow returns a random duration in [0, d).
+func (f *Feed) randomBelow(d time.Duration) time.Duration {
 	return time.Duration(f.rand.Float64() * float64(d))
 }
 
-// read reads the list once.
+// read reads the list from the platform and schedules the next read.
 func (f *Feed) read(ctx context.Context) {
-	// What the answer tells is at least as new as the moment of the call.
+	// The response is at least as recent as the start of the request.
 	at := time.Now()
 	list, err := f.lister.List(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	f.logTurn(err)
+	f.logOutage(err)
 	if err != nil {
 		f.failures++
 		f.findSeeds(ctx)
 	} else {
 		f.failures = 0
-		f.took(list, at)
+		f.handleReading(list, at)
 	}
-	wait := f.wait()
-	f.nextRead = time.Now().Add(wait - time.Duration(jitterShare*float64(wait)) + f.random(time.Duration(2*jitterShare*float64(wait))))
+	wait := f.pollInterval()
+	f.nextRead = time.Now().Add(wait - time.Duration(jitterShare*float64(wait)) + f.randomBelow(time.Duration(2*jitterShare*float64(wait))))
 }
 
-// findSeeds looks for nodes that have the list, for a node that has none.
+// findSeeds looks up seed nodes if this node has no list.
 func (f *Feed) findSeeds(ctx context.Context) {
 	if f.view.Current() != nil || f.options.Seeds == nil {
 		return
@@ -95,64 +91,65 @@
 	f.seeds = membership.List{VMs: membership.Normalize(seeds)}
 }
 
-// logTurn writes a line at the start and the end of an outage only.
-func (f *Feed) logTurn(err error) {
+// logOutage logs the start and the end of an outage, not each failure.
+func (f *Feed) logOutage(err error) {
 	switch {
-	case err != nil && !f.out:
+	case err != nil && !f.unavailable:
 		f.log.WithError(err).Warn("membership: list not read, keeping the last one")
-	case err == nil && f.out:
+	case err == nil && f.unavailable:
 		f.log.Info("membership: list read again")
 	}
-	f.out = err != nil
+	f.unavailable = err != nil
 }
 
-// took compares a reading with the list in force.
-func (f *Feed) took(list membership.List, at time.Time) {
+// handleReading compares a reading with the replicated list and publishes the
+// parts that changed.
+func (f *Feed) handleReading(list membership.List, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.divide(list); err != nil {
-		f.log.WithError(err).Error("membership: list left out")
+	if err := f.splitReading(list); err != nil {
+		f.log.WithError(err).Error("membership: cannot encode the list, ignoring it")
 		return
 	}
-	read := version{max(f.parts.head.epoch, f.held.epoch, 1), list.Sequence}
-	// A node that does not know what others have would spread the whole list as
-	// if all had changed.
-	if !f.spread.Ready() || !f.parts.known && !f.spread.Watching() {
-		f.takeAlone(read, at)
+	read := version{max(f.parts.head.epoch, f.current.epoch, 1), list.Sequence}
+	// A node that has not synchronized with its peers would publish the whole
+	// list as changed.
+	if !f.replicator.Ready() || !f.parts.hasHead && !f.replicator.Watching() {
+		f.applyLocally(read, at)
 		return
 	}
-	same := read == f.parts.head && f.last.digest == f.parts.digest
+	same := read == f.parts.head && f.last.digest == f.parts.headDigest
 	switch {
-	case !f.parts.known || read.later(f.parts.head):
+	case !f.parts.hasHead || read.newerThan(f.parts.head):
 		f.publish(read)
 	case same && f.parts.complete():
-	case f.startedAnew(at):
+	case f.sequenceWasReset(at):
 		read = f.nextEpoch(read)
 		f.publish(read)
 	case same:
 		f.publish(read)
 	}
-	if read != f.parts.head || !f.parts.complete() || f.last.digest != f.parts.digest {
+	if read != f.parts.head || !f.parts.complete() || f.last.digest != f.parts.headDigest {
 		return
 	}
-	f.others = 0
-	f.spread.RecordReading(read.epoch, read.sequence, at)
-	if f.held == read {
-		f.show(f.last.shown, at)
+	f.mismatches = 0
+	f.replicator.RecordReading(read.epoch, read.sequence, at)
+	if f.current == read {
+		f.updateView(f.last.inView, at)
 	}
 }
 
-// takeAlone puts a reading in force on this node only.
-func (f *Feed) takeAlone(read version, at time.Time) {
-	if f.held.later(read) {
-		if !f.startedAnew(at) {
+// applyLocally updates the view of this node without publishing the reading.
+func (f *Feed) applyLocally(read version, at time.Time) {
+	if f.current.newerThan(read) {
+		if !f.sequenceWasReset(at) {
 			return
 		}
 		read = f.nextEpoch(read)
 	}
-	f.others = 0
-	f.held = read
-	f.show(f.last.vms, at)
+	f.mismatches = 0
+	f.current = read
+	f.updateView(f.last.vms, at)
 }
 
 func (f *Feed) nextEpoch(read version) version {
@@ -161,27 +158,24 @@
 	return read
 }
 
-// startedAnew reports whether a reading that is not the list in force shall
-// replace it.
-//
-// A part of the platform that is behind gives older lists, and so does a
-// platform that lost its count. The first must not be believed, or VMs that
-// ended are back; the second must, or no change is seen any more. They differ in
-// that somebody still reads the list in force in the first case.
-func (f *Feed) startedAnew(now time.Time) bool {
-	f.others++
-	if f.others < otherLimit {
+// sequenceWasReset reports whether repeated readings that differ from the current
+// list mean that the platform's sequence was reset. A lagging replica of the
+// platform also returns older lists, but then some node still reads the current
+// one.
+func (f *Feed) sequenceWasReset(now time.Time) bool {
+	f.mismatches++
+	if f.mismatches < mismatchLimit {
 		return false
 	}
-	reading, ok := f.spread.Reading()
+	reading, ok := f.replicator.Reading()
 	return !ok || now.Sub(reading.At) > f.options.StaleAfter
 }
 
-// publish spreads the parts in which the last reading differs from what was
-// spread. Parts that are equal keep their versions: watchers that read the same
-// change at different times publish it once.
+// publish publishes the parts of the last reading that differ from the replicated
+// ones. Equal parts keep their versions, so that watchers that read the same
+// change publish it once.
 func (f *Feed) publish(read version) {
-	keys := f.parts.differing(f.last.bodies)
+	keys := f.parts.changedKeys(f.last.bodies)
 	for _, key := range keys {
 		body := f.last.bodies[key]
 		if body == nil {
@@ -189,29 +183,30 @@
 		}
 		f.publishPart(key, read, body)
 	}
-	if f.parts.known && f.parts.head == read {
+	if f.parts.hasHead && f.parts.head == read {
 		return
 	}
 	head, err := parts.EncodeHead(f.last.digest)
 	if err != nil {
-		f.log.WithError(err).Error("membership: digest not spread")
+		f.log.WithError(err).Error("membership: cannot encode the list digest")
 		return
 	}
 	f.publishPart(parts.HeadKey, read, head)
-	f.assemble()
+	f.activateIfComplete()
 }
 
 func (f *Feed) publishPart(key string, v version, body []byte) {
-	if err := f.spread.Publish(key, v.epoch, v.sequence, body); err != nil {
-		f.log.WithError(err).WithField("item", key).Error("membership: part of the list not spread")
+	if err := f.replicator.Publish(key, v.epoch, v.sequence, body); err != nil {
+		f.log.WithError(err).WithField("item", key).Error("membership: cannot publish part of the list")
 		return
 	}
-	epoch, sequence, body := f.spread.Part(key)
-	f.put(key, version{epoch, sequence}, body)
+	epoch, sequence, body := f.replicator.Part(key)
+	f.store(key, version{epoch, sequence}, body)
 }
 
-// divide divides the rows unless they are those of the last reading.
-func (f *Feed) divide(list membership.List) error {
+// splitReading splits a list into parts, unless it is unchanged since the last
+// reading.
+func (f *Feed) splitReading(list membership.List) error {
 	if f.last.sequence == list.Sequence && sameRows(f.last.vms, list.VMs) {
 		return nil
 	}
@@ -224,7 +219,8 @@
 	return nil
 }
 
-// sameRows reports whether both are the same rows in memory.
+// sameRows reports whether both slices share their memory, as a Lister returns
+// them for an unchanged list.
 func sameRows(a, b []membership.VM) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
--- a/membership/httplist/lister.go
+++ b/membership/httplist/lister.go
@@ -19,36 +19,35 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// DefaultTimeout bounds one reading.
+// DefaultTimeout bounds one request.
 const DefaultTimeout = 3 * time.Second
 
-// maxAnswerBytes bounds a list: about 100000 rows.
-const maxAnswerBytes = 32 << 20
+// maxResponseBytes bounds the memory for one response.
+const maxResponseBytes = 32 << 20
 
-// Options describes where the list is.
+// Options configures a Lister.
 type Options struct {
 	// Address is host:port of the platform.
 	Address string
-	// Path answers the list; empty means wire.DefaultPath.
+	// Path is the URL path of the list; empty means wire.DefaultPath.
 	Path    string
 	Timeout time.Duration
 }
 
-// Lister implements membership.Lister. It is safe for use by several
-// goroutines.
+// Lister implements membership.Lister. It is safe for concurrent use.
 type Lister struct {
 	url     string
 	timeout time.Duration
 	http    *http.Client
 
-	mu   sync.Mutex
-	last membership.List
-	read bool
+	mu      sync.Mutex
+	last    membership.List
+	hasList bool
 }
 
 var _ membership.Lister = (*Lister)(nil)
 
-// New returns a lister; it does not call the platform.
+// New returns a lister without sending a request.
 func New(options Options) *Lister {
 	if options.Path == "" {
 		options.Path = wire.DefaultPath
@@ -61,21 +60,21 @@
 	}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (l *Lister) Close() {
 	l.http.CloseIdleConnections()
 }
 
-// List implements membership.Lister. The platform sends the rows only when
-// they changed since the last reading. The rows returned are shared: callers
-// must not change them.
+// List implements membership.Lister. The platform sends the rows only when they
+// changed since the last request. The rows are shared between calls and must not
+// be modified.
 func (l *Lister) List(ctx context.Context) (membership.List, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
-	known, read := l.known()
+	last, hasList := l.lastList()
 	url := l.url
-	if read {
-		url += "?" + wire.QueryKnown + "=" + strconv.FormatUint(known.Sequence, 10)
+	if hasList {
+		url += "?" + wire.QueryKnown + "=" + strconv.FormatUint(last.Sequence, 10)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -88,7 +87,7 @@
 	defer response.Body.Close()
 	switch response.StatusCode {
 	case http.StatusNotModified:
-		return known, nil
+		return last, nil
 	case http.StatusOK:
 		return l.decode(response.Body)
 	default:
@@ -96,32 +95,31 @@
 	}
 }
 
-func (l *Lister) known() (membership.List, bool) {
+func (l *Lister) lastList() (membership.List, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.last, l.read
+	return l.last, l.hasList
 }
 
 func (l *Lister) decode(body io.Reader) (membership.List, error) {
-	var answer wire.ListResponse
-	err := json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(&answer)
+	var response wire.ListResponse
+	err := json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(&response)
 	if err != nil {
 		return membership.List{}, unavailable(err)
 	}
-	// Any JSON object decodes into an answer. One without rows is no list of
-	// the platform; taken for one, it would end every VM.
-	if answer.VMs == nil {
-		return membership.List{}, unavailable(errors.New("answer without the list of VMs"))
+	// Any JSON object decodes into a response. One without the field must not
+	// count as an empty list, which would remove every VM.
+	if response.VMs == nil {
+		return membership.List{}, unavailable(errors.New("response without the list of VMs"))
 	}
-	list := membership.List{Sequence: answer.Sequence, VMs: convert(answer.VMs)}
+	list := membership.List{Sequence: response.Sequence, VMs: convert(response.VMs)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last, l.read = list, true
+	l.last, l.hasList = list, true
 	return list, nil
 }
 
-// convert leaves out rows that can't be read: one bad row must not hide all
-// other VMs.
+// convert skips invalid rows, so that one does not hide all other VMs.
 func convert(messages []wire.VM) []membership.VM {
 	vms := make([]membership.VM, 0, len(messages))
 	for _, message := range messages {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership reads the platform's list of VMs. The list lags: a VM it
-// shows as live may have ended, and a new one may be missing. A VM that it
-// showed and shows no longer is taken for ended after a while; package view
-// tells for how long it has been absent. The same VM may be listed twice.
+// Package membership defines the platform's list of VMs. The list is eventually
+// consistent: a VM listed as live may have terminated, a new one may be missing,
+// and a VM may be listed twice. Package view reports for how long a VM has been
+// absent from the list.
 package membership
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Role tells what runs on a VM.
+// Role is the kind of process that a VM runs.
 type Role uint8
 
-// The roles.
+// Roles of a VM.
 const (
 	RoleEntry Role = iota
 	RoleTarget
@@ -23,7 +23,7 @@
 // State is a VM's state as last listed.
 type State uint8
 
-// The states.
+// States of a VM.
 const (
 	StateLive State = iota
 	StateLeaving
@@ -45,17 +45,17 @@
 	Peer netip.AddrPort
 }
 
-// List is one reading, sorted by ID without duplicates.
+// List is the VM list as of one read, sorted by ID without duplicates.
 type List struct {
 	VMs []VM
-	// Epoch grows each time the platform is taken to count anew. The nodes keep
-	// it; a Lister leaves it 0.
+	// Epoch is incremented by the nodes when the platform's sequence was reset;
+	// a Lister leaves it 0.
 	Epoch uint64
-	// Sequence grows with each change the platform shows.
+	// Sequence is the platform's version of the list.
 	Sequence uint64
 }
 
-// Later reports whether the list is a newer one than other.
+// Later reports whether the list is newer than other.
 func (l List) Later(other List) bool {
 	if l.Epoch != other.Epoch {
 		return l.Epoch > other.Epoch
@@ -63,8 +63,8 @@
 	return l.Sequence > other.Sequence
 }
 
-// Lister reads the list. It returns store.ErrUnavailable when the platform
-// does not answer.
+// Lister reads the list from the platform. It returns store.ErrUnavailable when
+// the platform does not answer.
 type Lister interface {
 	List(ctx context.Context) (List, error)
 }
--- a/membership/parts/parts.go
+++ b/membership/parts/parts.go
@@ -1,9 +1,9 @@
-// Package parts divides a VM list into a fixed number of parts, by a hash of the
-// VM's name, so that a change sends the part it is in and not the whole list.
+// Package parts shards a VM list into a fixed number of parts by a hash of the
+// VM's ID, so that a change sends only the part that it affects.
 //
-// A key for each VM would send a little less, but the key of a VM that ended
-// could never be removed: a node that lags would bring the VM back. The parts
-// stay; the row goes.
+// One key per VM would send less, but could not be deleted safely: a lagging
+// node would bring a terminated VM back. With a fixed set of keys only the row
+// is removed.
 package parts
 
 import (
@@ -19,22 +19,21 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// The keys under which a list is spread.
+// Keys under which a list is replicated.
 const (
-	// Prefix begins all of them.
+	// Prefix is the common prefix of all keys.
 	Prefix = "vms/"
-	// HeadKey holds the digest over all parts.
+	// HeadKey is the key of the digest of all parts.
 	HeadKey = Prefix + "head"
 )
 
-// count is the number of parts: with 1,350 VMs a part holds 1.3 rows, and the
-// part of a VM that changed 2.3.
-const count = 1024
+// partCount keeps parts to a few rows each for a list of some thousand VMs.
+const partCount = 1024
 
-// Bodies are the parts that hold rows, by key.
+// Bodies maps the keys of the non-empty parts to their encoded rows.
 type Bodies map[string][]byte
 
-// Split divides a list that is sorted by ID.
+// Split encodes the parts of a list that is sorted by ID.
 func Split(vms []membership.VM) (Bodies, error) {
 	rows := map[string]*peerpb.ListRows{}
 	for _, vm := range vms {
@@ -59,8 +58,8 @@
 	return bodies, nil
 }
 
-// Digest is the sum of the hashes of all parts; it is the same for lists with
-// the same rows.
+// Digest returns the sum of the hashes of all parts, which is independent of
+// their order.
 func (b Bodies) Digest() uint64 {
 	var digest uint64
 	for key, body := range b {
@@ -69,7 +68,7 @@
 	return digest
 }
 
-// Hash is the hash of one part; one without rows counts as none.
+// Hash returns the hash of one part, 0 for an empty one.
 func Hash(key string, body []byte) uint64 {
 	if len(body) == 0 {
 		return 0
@@ -81,9 +80,9 @@
 	return d.Sum64()
 }
 
-// Decode decodes a part. Decode that can't be read are left out and counted: one
-// of a newer release must not hide all others.
-func Decode(body []byte) (vms []membership.VM, unread int, err error) {
+// Decode decodes a part. It skips and counts invalid rows, such as those with
+// values of a newer release.
+func Decode(body []byte) (vms []membership.VM, skipped int, err error) {
 	message := &peerpb.ListRows{}
 	if err := proto.Unmarshal(body, message); err != nil {
 		return nil, 0, errors.Wrap(err, "membership: decode rows")
@@ -91,21 +90,21 @@
 	for _, row := range message.GetRows() {
 		vm, ok := fromRow(row)
 		if !ok {
-			unread++
+			skipped++
 			continue
 		}
 		vms = append(vms, vm)
 	}
-	return vms, unread, nil
+	return vms, skipped, nil
 }
 
-// EncodeHead returns the body under HeadKey.
+// EncodeHead returns the body stored under HeadKey.
 func EncodeHead(digest uint64) ([]byte, error) {
 	body, err := proto.Marshal(&peerpb.ListHead{Digest: digest})
 	return body, errors.Wrap(err, "membership: encode the digest")
 }
 
-// DecodeHead returns the digest that EncodeHead was given.
+// DecodeHead returns the digest encoded by EncodeHead.
 func DecodeHead(body []byte) (uint64, error) {
 	head := &peerpb.ListHead{}
 	err := proto.Unmarshal(body, head)
@@ -113,7 +112,7 @@
 }
 
 func keyOf(vm string) string {
-	return fmt.Sprintf("%s%03x", Prefix, xxhash.Sum64String(vm)%count)
+	return fmt.Sprintf("%s%03x", Prefix, xxhash.Sum64String(vm)%partCount)
 }
 
 func toRow(vm membership.VM) (*peerpb.ListRow, error) {
@@ -145,13 +144,13 @@
 		Service: model.ServiceName(row.GetService()),
 	}
 	known := row.GetRole() <= uint32(membership.RoleTarget) && row.GetState() <= uint32(membership.StateLeaving)
-	address, first := readAddress(row.GetAddress())
-	peer, second := readAddress(row.GetPeer())
+	address, addressOK := decodeAddress(row.GetAddress())
+	peer, peerOK := decodeAddress(row.GetPeer())
 	vm.Address, vm.Peer = address, peer
-	return vm, known && first && second && vm.ID != ""
+	return vm, known && addressOK && peerOK && vm.ID != ""
 }
 
-func readAddress(body []byte) (address netip.AddrPort, ok bool) {
+func decodeAddress(body []byte) (address netip.AddrPort, ok bool) {
 	if len(body) == 0 {
 		return address, true
 	}
--- a/membership/parts/parts_test.go
+++ b/membership/parts/parts_test.go
@@ -18,24 +18,22 @@
 	}
 }
 
-func TestRowsAreAsBefore(t *testing.T) {
+func TestRowsRoundTrip(t *testing.T) {
 	target := membership.VM{ID: "t", Role: membership.RoleTarget, Account: "daehan", Service: "dealer-desk"}
 	for _, vm := range []membership.VM{entry("a"), target} {
 		bodies, err := Split([]membership.VM{vm})
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, unread, err := Decode(bodies[keyOf(vm.ID)])
-		if err != nil || unread != 0 || !slices.Equal(got, []membership.VM{vm}) {
-			t.Errorf("%+v became %+v, %d left out, %v", vm, got, unread, err)
+		got, skipped, err := Decode(bodies[keyOf(vm.ID)])
+		if err != nil || skipped != 0 || !slices.Equal(got, []membership.VM{vm}) {
+			t.Errorf("decoded %+v, want %+v; %d rows skipped, error %v", got, vm, skipped, err)
 		}
 	}
 }
 
-// A node of a newer release spreads a VM with a role that this one does not
-// know. The other VMs of the part must stay in force, or callers lose a target
-// that works.
-func TestRowOfANewerRelease(t *testing.T) {
+// A row with a role of a newer release must not hide the other rows of its part.
+func TestDecodeSkipsUnknownRows(t *testing.T) {
 	row, err := toRow(entry("a"))
 	if err != nil {
 		t.Fatal(err)
@@ -46,8 +44,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, unread, err := Decode(body)
-	if err != nil || unread != 1 || !slices.Equal(got, []membership.VM{entry("a")}) {
-		t.Errorf("%+v, %d left out, %v", got, unread, err)
+	got, skipped, err := Decode(body)
+	if err != nil || skipped != 1 || !slices.Equal(got, []membership.VM{entry("a")}) {
+		t.Errorf("decoded %+v, %d rows skipped, error %v", got, skipped, err)
 	}
 }
--- a/membership/sort.go
+++ b/membership/sort.go
@@ -5,10 +5,9 @@
 	"strings"
 )
 
-// Normalize sorts the VMs by ID and keeps one row of each. When a VM is listed
-// twice with different states the leaving one wins: taking a live VM for a
-// leaving one costs a target for one reading, the reverse sends work to a VM
-// that is about to end.
+// Normalize sorts the VMs by ID and removes duplicates. Of two rows with
+// different states the leaving one is kept, since traffic must not go to a VM
+// that is about to terminate.
 func Normalize(vms []VM) []VM {
 	sorted := slices.Clone(vms)
 	slices.SortStableFunc(sorted, func(a, b VM) int {
--- a/membership/view/change.go
+++ b/membership/view/change.go
@@ -2,19 +2,19 @@
 
 import "github.com/yuccaroute/yuccaroute/membership"
 
-// Change is the difference between the lists of two snapshots.
+// Change is the difference between two lists.
 type Change struct {
 	Added   []membership.VM
 	Removed []membership.VM
-	// Updated are VMs in both lists whose row differs, as they are now.
+	// Updated holds the new rows of VMs that are in both lists.
 	Updated []membership.VM
-	// Replaced are addresses that now belong to another VM. Both VMs are in
-	// Removed and Added too, if the lists show them so.
+	// Replaced holds the addresses that now belong to another VM. The VMs may
+	// also be in Removed and Added.
 	Replaced []Replacement
 }
 
-// Replacement is a VM that took over the address of another. What was learnt
-// of the old one, its connections included, is not true of the new one.
+// Replacement is a VM that has the former address of another. State and
+// connections of the old VM must not be reused for the new one.
 type Replacement struct {
 	Old membership.VM
 	New membership.VM
@@ -25,11 +25,11 @@
 	var change Change
 	old := byID(before)
 	for _, vm := range after {
-		was, known := old[vm.ID]
+		previous, known := old[vm.ID]
 		switch {
 		case !known:
 			change.Added = append(change.Added, vm)
-		case was != vm:
+		case previous != vm:
 			change.Updated = append(change.Updated, vm)
 		}
 	}
--- a/membership/view/options.go
+++ b/membership/view/options.go
@@ -15,15 +15,15 @@
 	DefaultMaxAbsent       = 4096
 )
 
-// Options sets how the list is smoothed.
+// Options configures flap damping and the retention of absent VMs.
 type Options struct {
-	// HoldDown is how long a VM that was gone must be listed again before it
-	// is shown. It doubles with each return up to MaxHold, and starts over
-	// when the VM was listed for StableAfter.
+	// HoldDown is how long a returning VM must be listed before it is shown. It
+	// doubles with each return up to MaxHoldDown, and is reset when the VM was
+	// listed for StableAfter.
 	HoldDown    time.Duration
 	MaxHoldDown time.Duration
 	StableAfter time.Duration
-	// AbsentRetention and MaxAbsent bound what is remembered of VMs that are gone.
+	// AbsentRetention and MaxAbsent bound the records of absent VMs.
 	AbsentRetention time.Duration
 	MaxAbsent       int
 }
--- a/membership/view/record.go
+++ b/membership/view/record.go
@@ -7,7 +7,7 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// endpoint is where a VM is reached.
+// endpoint identifies a VM by role and address.
 type endpoint struct {
 	role    membership.Role
 	address netip.AddrPort
@@ -17,23 +17,23 @@
 	return endpoint{role: vm.Role, address: vm.Address}
 }
 
-// record is what is remembered of one VM.
+// record is the tracked state of one VM.
 type record struct {
 	vm     membership.VM
 	listed bool
-	// since is when the VM came to be listed, or gone.
+	// since is when the VM was last added to or removed from the list.
 	since time.Time
-	// returns counts how often the VM came back, since it was last stable.
+	// returns counts the returns since the VM was last stable.
 	returns int
-	// shownFrom is when it may be shown again after a return.
+	// shownFrom is the end of the hold-down time.
 	shownFrom time.Time
-	// order grows with the readings in which VMs came to be listed.
-	order uint64
+	// listedRevision is the tracker's revision when the VM was last added.
+	listedRevision uint64
 }
 
-// leave notes that an answer did not list the VM. Its returns are forgotten if
-// it was listed for long before.
-func (r *record) leave(now time.Time, o Options) {
+// markAbsent records that the VM is no longer listed. The count of returns is
+// reset if the VM was stable before.
+func (r *record) markAbsent(now time.Time, o Options) {
 	if now.Sub(r.since) >= o.StableAfter {
 		r.returns = 0
 	}
@@ -41,18 +41,17 @@
 	r.since = now
 }
 
-// enter notes that an answer lists the VM after one that did not. A VM that
-// comes and goes would pull its share of traffic back and forth; each return
-// costs it a longer wait, so the number of moves in any time is bounded.
-func (r *record) enter(now time.Time, order uint64, o Options) {
+// markListed records that an absent VM is listed again. The hold-down time grows
+// with each return, so that a flapping VM does not keep shifting traffic.
+func (r *record) markListed(now time.Time, revision uint64, o Options) {
 	r.returns++
-	r.shownFrom = now.Add(o.hold(r.returns))
+	r.shownFrom = now.Add(o.holdDown(r.returns))
 	r.listed = true
 	r.since = now
-	r.order = order
+	r.listedRevision = revision
 }
 
-func (o Options) hold(returns int) time.Duration {
+func (o Options) holdDown(returns int) time.Duration {
 	hold := o.HoldDown
 	for i := 1; i < returns && hold < o.MaxHoldDown; i++ {
 		hold *= 2
--- a/membership/view/snapshot.go
+++ b/membership/view/snapshot.go
@@ -6,37 +6,37 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// Snapshot is what is known of the VMs after one reading. It never changes.
+// Snapshot is the state of the VMs after one reading. It is immutable.
 type Snapshot struct {
-	// List is what may be used: no VM twice, no address twice, no VM that
-	// only just returned.
+	// List holds the VMs that may be used: without duplicate IDs or addresses
+	// and without VMs in hold-down.
 	List membership.List
-	// Version grows by one with each change of List or Absent.
+	// Version is incremented with each change of List or Absent.
 	Version uint64
-	// ReadAt is when the last good answer of the platform came.
+	// ReadAt is the time of the last successful read from the platform.
 	ReadAt time.Time
-	// Absent are the VMs that were listed once and are not now, by ID.
+	// Absent holds the VMs that were listed before and are not now, sorted by ID.
 	Absent []AbsentVM
 }
 
-// AbsentVM is a VM that the platform listed and lists no longer.
+// AbsentVM is a VM that the platform no longer lists.
 type AbsentVM struct {
 	VM membership.VM
-	// Since is when the first answer without the VM came, Confirmed when the
-	// last one did.
+	// Since is the time of the first read without the VM, Confirmed that of
+	// the last.
 	Since     time.Time
 	Confirmed time.Time
 }
 
-// Duration is for how long answers have shown the VM as gone. It stands still
-// while the platform does not answer: the VM may have returned unseen.
-func (g AbsentVM) Duration() time.Duration {
-	return g.Confirmed.Sub(g.Since)
+// Duration returns for how long the VM has been absent. It does not grow during
+// an outage of the platform, since the VM may have returned in the meantime.
+func (a AbsentVM) Duration() time.Duration {
+	return a.Confirmed.Sub(a.Since)
 }
 
-// Age is the time since the reading, by the clock that advanced further: the
-// monotonic clock may stand still while a VM is suspended, and its list would
-// look as young as before.
+// Age returns the time since the reading, by the wall clock or the monotonic
+// clock, whichever advanced further: the monotonic clock may stop while the VM
+// is suspended.
 func (s *Snapshot) Age(now time.Time) time.Duration {
 	return max(now.Sub(s.ReadAt), now.Round(0).Sub(s.ReadAt.Round(0)))
 }
--- a/membership/view/tracker.go
+++ b/membership/view/tracker.go
@@ -9,16 +9,17 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// tracker folds readings into snapshots. It makes no calls and reads no clock.
+// tracker builds snapshots from readings. It does no I/O and reads no clock.
 type tracker struct {
 	options Options
 	records map[string]*record
-	order   uint64
-	last    *Snapshot
-	// rows are those of the last reading, as it gave them.
+	// revision counts the readings whose rows changed.
+	revision uint64
+	last     *Snapshot
+	// rows holds the rows of the last reading before normalization.
 	rows []membership.VM
-	// waiting is set while a VM that returned is not shown yet.
-	waiting bool
+	// heldDown is set while a VM is in hold-down.
+	heldDown bool
 }
 
 func newTracker(options Options) *tracker {
@@ -29,102 +30,102 @@
 	}
 }
 
-// fold returns the snapshot after a reading made at now, or nil if the list or
-// the reading is older than the last one. An older list would bring VMs back
-// that ended, and hide new ones.
-func (t *tracker) fold(list membership.List, now time.Time) *Snapshot {
+// update returns the snapshot after a reading at now, or nil if the list or the
+// reading is older than the last one: an older list would bring back terminated
+// VMs and hide new ones.
+func (t *tracker) update(list membership.List, now time.Time) *Snapshot {
 	if t.last.List.Later(list) || now.Before(t.last.ReadAt) {
 		return nil
 	}
-	shown := t.last.List.VMs
+	vms := t.last.List.VMs
 	same := slices.Equal(list.VMs, t.rows)
 	if !same {
-		t.note(list.VMs, now)
+		t.applyRows(list.VMs, now)
 	}
-	if !same || t.waiting {
-		shown = t.shown(now)
+	if !same || t.heldDown {
+		vms = t.usable(now)
 	}
-	t.forget(now)
+	t.expireAbsent(now)
 	next := &Snapshot{
-		List:    membership.List{VMs: shown, Epoch: list.Epoch, Sequence: list.Sequence},
+		List:    membership.List{VMs: vms, Epoch: list.Epoch, Sequence: list.Sequence},
 		ReadAt:  now,
-		Absent:  t.gone(now),
+		Absent:  t.absent(now),
 		Version: t.last.Version,
 	}
-	if changed(t.last, next) {
+	if differs(t.last, next) {
 		next.Version++
 	}
 	t.last = next
 	return next
 }
 
-// note takes over rows that differ from those of the last reading.
-func (t *tracker) note(vms []membership.VM, now time.Time) {
-	t.order++
+func (t *tracker) applyRows(vms []membership.VM, now time.Time) {
+	t.revision++
 	t.rows = vms
 	rows := membership.Normalize(vms)
-	t.noteListed(rows, now)
-	t.noteGone(rows, now)
+	t.updateListed(rows, now)
+	t.updateAbsent(rows, now)
 }
 
-func (t *tracker) noteListed(rows []membership.VM, now time.Time) {
+func (t *tracker) updateListed(rows []membership.VM, now time.Time) {
 	for _, vm := range rows {
 		r := t.records[vm.ID]
 		switch {
 		case r == nil:
-			r = &record{listed: true, since: now, shownFrom: now, order: t.order}
+			r = &record{listed: true, since: now, shownFrom: now, listedRevision: t.revision}
 			t.records[vm.ID] = r
 		case !r.listed:
-			r.enter(now, t.order, t.options)
+			r.markListed(now, t.revision, t.options)
 		}
 		r.vm = vm
 	}
 }
 
-func (t *tracker) noteGone(rows []membership.VM, now time.Time) {
+func (t *tracker) updateAbsent(rows []membership.VM, now time.Time) {
 	listed := byID(rows)
 	for id, r := range t.records {
 		if _, ok := listed[id]; !ok && r.listed {
-			r.leave(now, t.options)
+			r.markAbsent(now, t.options)
 		}
 	}
 }
 
-// forget drops VMs gone for long, and the longest gone above the bound.
-func (t *tracker) forget(now time.Time) {
-	var gone []*record
+// expireAbsent deletes absent VMs past their retention, and the oldest ones above
+// MaxAbsent.
+func (t *tracker) expireAbsent(now time.Time) {
+	var absent []*record
 	for id, r := range t.records {
 		switch {
 		case r.listed:
 		case now.Sub(r.since) > t.options.AbsentRetention:
 			delete(t.records, id)
 		default:
-			gone = append(gone, r)
+			absent = append(absent, r)
 		}
 	}
-	excess := len(gone) - t.options.MaxAbsent
+	excess := len(absent) - t.options.MaxAbsent
 	if excess <= 0 {
 		return
 	}
-	slices.SortFunc(gone, func(a, b *record) int {
+	slices.SortFunc(absent, func(a, b *record) int {
 		return cmp.Or(a.since.Compare(b.since), strings.Compare(a.vm.ID, b.vm.ID))
 	})
-	for _, r := range gone[:excess] {
+	for _, r := range absent[:excess] {
 		delete(t.records, r.vm.ID)
 	}
 }
 
-// shown returns the VMs that may be used, sorted by ID.
-func (t *tracker) shown(now time.Time) []membership.VM {
+// usable returns the VMs for Snapshot.List, sorted by ID.
+func (t *tracker) usable(now time.Time) []membership.VM {
 	owners := t.owners()
-	t.waiting = false
+	t.heldDown = false
 	var vms []membership.VM
 	for _, r := range t.records {
 		if !r.listed || owners[endpointOf(r.vm)] != r {
 			continue
 		}
 		if now.Before(r.shownFrom) {
-			t.waiting = true
+			t.heldDown = true
 			continue
 		}
 		vms = append(vms, r.vm)
@@ -133,45 +134,44 @@
 	return vms
 }
 
-// owners returns the VM that has each address. A new VM gets the address of
-// one that ended, while the list may still show the old one: the one listed
-// last is there now.
+// owners returns the current VM of each address. While the list still holds the
+// previous VM of a reused address, the one listed last has it.
 func (t *tracker) owners() map[endpoint]*record {
 	owners := map[endpoint]*record{}
 	for _, r := range t.records {
 		if !r.listed {
 			continue
 		}
-		at := endpointOf(r.vm)
-		if owner := owners[at]; owner == nil || r.isLater(owner) {
-			owners[at] = r
+		address := endpointOf(r.vm)
+		if owner := owners[address]; owner == nil || r.isLater(owner) {
+			owners[address] = r
 		}
 	}
 	return owners
 }
 
-// isLater orders two VMs of one address. Those that came in one reading are
-// ordered by state and ID, so that all nodes choose the same one.
+// isLater reports whether the VM was listed after another with the same address.
+// Ties are broken by state and ID, so that all nodes choose the same VM.
 func (r *record) isLater(other *record) bool {
 	return cmp.Or(
-		cmp.Compare(r.order, other.order),
+		cmp.Compare(r.listedRevision, other.listedRevision),
 		cmp.Compare(other.vm.State, r.vm.State),
 		strings.Compare(r.vm.ID, other.vm.ID),
 	) > 0
 }
 
-func (t *tracker) gone(now time.Time) []AbsentVM {
-	var gone []AbsentVM
+func (t *tracker) absent(now time.Time) []AbsentVM {
+	var absent []AbsentVM
 	for _, r := range t.records {
 		if !r.listed {
-			gone = append(gone, AbsentVM{VM: r.vm, Since: r.since, Confirmed: now})
+			absent = append(absent, AbsentVM{VM: r.vm, Since: r.since, Confirmed: now})
 		}
 	}
-	slices.SortFunc(gone, func(a, b AbsentVM) int { return strings.Compare(a.VM.ID, b.VM.ID) })
-	return gone
+	slices.SortFunc(absent, func(a, b AbsentVM) int { return strings.Compare(a.VM.ID, b.VM.ID) })
+	return absent
 }
 
-func changed(before, after *Snapshot) bool {
+func differs(before, after *Snapshot) bool {
 	return !slices.Equal(before.List.VMs, after.List.VMs) ||
 		!slices.EqualFunc(before.Absent, after.Absent, func(a, b AbsentVM) bool { return a.VM.ID == b.VM.ID })
 }
--- a/membership/view/tracker_bench_test.go
+++ b/membership/view/tracker_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// BenchmarkFold folds the same list of 3000 VMs again, as each interval does.
-func BenchmarkFold(b *testing.B) {
+// BenchmarkUpdate reads an unchanged list of 3000 VMs.
+func BenchmarkUpdate(b *testing.B) {
 	var vms []membership.VM
 	for i := range 3000 {
 		vms = append(vms, target(fmt.Sprintf("vm-%04d", i), uint16(i)))
@@ -18,6 +18,6 @@
 	now := time.Now()
 	for b.Loop() {
 		now = now.Add(interval)
-		tr.fold(membership.List{VMs: vms, Sequence: 1}, now)
+		tr.update(membership.List{VMs: vms, Sequence: 1}, now)
 	}
 }
--- a/membership/view/view.go
+++ b/membership/view/view.go
@@ -1,5 +1,5 @@
-// Package view keeps the last good VM list. It goes on serving that list, with
-// its age, while the platform is out.
+// Package view maintains the usable VMs from successive reads of the VM list. It
+// keeps the last list and reports its age while the platform is unavailable.
 package view
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// Subscriber is called with each new version, one call at a time. It must
-// return soon: the next reading waits for it.
+// Subscriber is called with each new snapshot version, one call at a time. It
+// must not block: the next update waits for it.
 type Subscriber func(snapshot *Snapshot, change Change)
 
-// View folds the readings of the list into snapshots.
+// View publishes snapshots of the VM list.
 type View struct {
 	current atomic.Pointer[Snapshot]
 
@@ -23,7 +23,7 @@
 	subscribers []Subscriber
 }
 
-// New returns a view that has taken nothing yet.
+// New returns a view without a snapshot.
 func New(options Options) *View {
 	return &View{tracker: newTracker(options.withDefaults())}
 }
@@ -33,8 +33,8 @@
 	return v.current.Load()
 }
 
-// Subscribe adds a subscriber. If there is a snapshot already, it is called
-// with it at once, all VMs as added.
+// Subscribe adds a subscriber. If there is a snapshot, the subscriber is called
+// at once with all its VMs as added.
 func (v *View) Subscribe(subscriber Subscriber) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -44,13 +44,13 @@
 	}
 }
 
-// Update takes in a list that the platform gave at readAt. A list older than the
-// last one, and a reading older than the last one, are left out.
+// Update applies a list that was read at readAt. It ignores a list or a reading
+// that is older than the last one.
 func (v *View) Update(list membership.List, readAt time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	before := v.tracker.last
-	snapshot := v.tracker.fold(list, readAt)
+	snapshot := v.tracker.update(list, readAt)
 	if snapshot == nil {
 		return
 	}
--- a/membership/view/view_test.go
+++ b/membership/view/view_test.go
@@ -15,13 +15,12 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// The seed is fixed; the flag -rapid.seed on the command line comes later and
-// wins.
+// The seed is fixed unless -rapid.seed is given on the command line.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 }
 
-// interval is the time between two readings.
+// interval is the time between two reads.
 const interval = 2 * time.Second
 
 func target(id string, port uint16) membership.VM {
@@ -44,10 +43,10 @@
 	return strings.Join(names, " ")
 }
 
-func goneIDs(gone []AbsentVM) string {
+func absentIDs(absent []AbsentVM) string {
 	var names []string
-	for _, g := range gone {
-		names = append(names, g.VM.ID)
+	for _, a := range absent {
+		names = append(names, a.VM.ID)
 	}
 	return strings.Join(names, " ")
 }
@@ -59,9 +58,8 @@
 	}
 }
 
-// Story: the platform is out for an hour. Callers go on being served by the
-// VMs of the last list, whose age grows; a VM that the last answer did not
-// list counts as absent only for as long as answers said so.
+// During an outage the last list stays usable and ages, and the absence of a VM
+// does not grow.
 func TestOutageKeepsLastList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := New(Options{})
@@ -81,7 +79,7 @@
 			t.Errorf("age %s after an hour without an answer", age)
 		}
 		if len(s.Absent) != 1 || s.Absent[0].Duration() > interval {
-			t.Errorf("gone: %+v, want b absent for at most one interval", s.Absent)
+			t.Errorf("absent VMs %+v, want b absent for at most one interval", s.Absent)
 		}
 		if calls != 2 {
 			t.Errorf("subscriber calls: %d, want 2", calls)
@@ -89,17 +87,16 @@
 	})
 }
 
-// Story: a VM ends and a new one gets its address within the lag of the list.
-// Work meant for the new one must not be judged by what is known of the old
-// one, and must not be sent to the address twice.
-func TestReturnUnderSameAddress(t *testing.T) {
+// When a new VM gets the address of a terminated one that is still listed, the
+// address must be shown once and reported as replaced.
+func TestAddressReuse(t *testing.T) {
 	now := time.Now()
 	tr := newTracker(Options{}.withDefaults())
-	before := tr.fold(*list(1, target("a", 1), target("c", 3)), now)
-	both := tr.fold(*list(2, target("a", 1), target("b", 1), target("c", 3)), now.Add(time.Second))
+	before := tr.update(*list(1, target("a", 1), target("c", 3)), now)
+	both := tr.update(*list(2, target("a", 1), target("b", 1), target("c", 3)), now.Add(time.Second))
 	mustShow(t, both, "b c")
 	if len(both.Absent) != 0 {
-		t.Errorf("gone %q although still listed", goneIDs(both.Absent))
+		t.Errorf("VMs %q are absent although still listed", absentIDs(both.Absent))
 	}
 	want := []Replacement{{Old: target("a", 1), New: target("b", 1)}}
 	got := Diff(before.List.VMs, both.List.VMs).Replaced
@@ -108,42 +105,42 @@
 	}
 }
 
-func TestListedTwice(t *testing.T) {
+func TestDuplicateRowIsLeaving(t *testing.T) {
 	leaving := target("a", 1)
 	leaving.State = membership.StateLeaving
 	tr := newTracker(Options{}.withDefaults())
-	s := tr.fold(*list(1, target("a", 1), leaving, target("a", 1)), time.Now())
+	s := tr.update(*list(1, target("a", 1), leaving, target("a", 1)), time.Now())
 	mustShow(t, s, "a")
 	if s.List.VMs[0].State != membership.StateLeaving {
-		t.Error("a VM listed as live and as leaving counts as live")
+		t.Error("a VM listed as both live and leaving is shown as live")
 	}
 }
 
-// Story: two parts of the platform answer in turn, one of them behind. A VM
-// that has ended would come and go with every reading.
+// Alternating reads from an up-to-date and a lagging replica of the platform must
+// not bring a terminated VM back.
 func TestOlderReadingIsIgnored(t *testing.T) {
 	now := time.Now()
 	tr := newTracker(Options{}.withDefaults())
-	tr.fold(*list(7, target("a", 1), target("b", 2)), now)
-	tr.fold(*list(8, target("a", 1)), now)
+	tr.update(*list(7, target("a", 1), target("b", 2)), now)
+	tr.update(*list(8, target("a", 1)), now)
 	for range 100 {
-		if s := tr.fold(*list(7, target("a", 1), target("b", 2)), now); s != nil {
-			t.Fatal("older list was taken")
+		if s := tr.update(*list(7, target("a", 1), target("b", 2)), now); s != nil {
+			t.Fatal("an older list was accepted")
 		}
-		if s := tr.fold(*list(9, target("a", 1), target("b", 2)), now.Add(-time.Second)); s != nil {
-			t.Fatal("older reading was taken")
+		if s := tr.update(*list(9, target("a", 1), target("b", 2)), now.Add(-time.Second)); s != nil {
+			t.Fatal("an older reading was accepted")
 		}
 	}
-	anew := list(1, target("a", 1))
-	anew.Epoch = 1
-	if s := tr.fold(*anew, now); s == nil {
-		t.Error("a platform that counts anew is never believed")
+	reset := list(1, target("a", 1))
+	reset.Epoch = 1
+	if s := tr.update(*reset, now); s == nil {
+		t.Error("a list of a newer epoch was ignored")
 	}
 }
 
-// Story: a VM is listed for five readings, gone for five, and so on for an
-// hour. Each change of the list moves traffic, so their number must stay small.
-func TestFlapIsBounded(t *testing.T) {
+// A VM that alternates between listed and absent must change the shown list only
+// a few times an hour, since each change moves traffic.
+func TestFlappingIsDamped(t *testing.T) {
 	now := time.Now()
 	tr := newTracker(Options{}.withDefaults())
 	shown, changes := true, 0
@@ -152,7 +149,7 @@
 		if i%10 < 5 {
 			vms = append(vms, target("b", 2))
 		}
-		s := tr.fold(membership.List{VMs: vms, Sequence: uint64(i)}, now)
+		s := tr.update(membership.List{VMs: vms, Sequence: uint64(i)}, now)
 		now = now.Add(interval)
 		if has := len(s.List.VMs) == 2; has != shown {
 			shown = has
@@ -163,14 +160,13 @@
 		t.Errorf("shown list changed %d times", changes)
 	}
 	vms := []membership.VM{target("a", 1), target("b", 2)}
-	tr.fold(membership.List{VMs: vms, Sequence: 2000}, now)
-	s := tr.fold(membership.List{VMs: vms, Sequence: 2001}, now.Add(DefaultMaxHoldDown))
+	tr.update(membership.List{VMs: vms, Sequence: 2000}, now)
+	s := tr.update(membership.List{VMs: vms, Sequence: 2001}, now.Add(DefaultMaxHoldDown))
 	mustShow(t, s, "a b")
 }
 
-// TestRandomReadings checks what must hold after any readings: sorted, no ID
-// or address twice, only listed VMs shown, every VM once listed either listed
-// or gone.
+// TestRandomReadings checks the invariants of snapshots: sorted, unique IDs and
+// addresses, only listed VMs shown, and every other known VM absent.
 func TestRandomReadings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := newTracker(Options{}.withDefaults())
@@ -185,12 +181,12 @@
 				listed[id], seen[id] = true, true
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 10).Draw(t, "pause")) * time.Second)
-			check(t, tr.fold(membership.List{VMs: vms, Sequence: sequence}, now), listed, seen)
+			checkInvariants(t, tr.update(membership.List{VMs: vms, Sequence: sequence}, now), listed, seen)
 		}
 	})
 }
 
-func check(t *rapid.T, s *Snapshot, listed, seen map[string]bool) {
+func checkInvariants(t *rapid.T, s *Snapshot, listed, seen map[string]bool) {
 	endpoints := map[endpoint]bool{}
 	for _, vm := range s.List.VMs {
 		if !listed[vm.ID] {
@@ -204,13 +200,13 @@
 	if !slices.IsSortedFunc(s.List.VMs, func(a, b membership.VM) int { return strings.Compare(a.ID, b.ID) }) {
 		t.Fatalf("not sorted: %s", ids(s.List.VMs))
 	}
-	gone := map[string]bool{}
-	for _, g := range s.Absent {
-		gone[g.VM.ID] = true
+	absent := map[string]bool{}
+	for _, a := range s.Absent {
+		absent[a.VM.ID] = true
 	}
 	for id := range seen {
-		if listed[id] == gone[id] {
-			t.Fatalf("%s: listed %v, gone %v", id, listed[id], gone[id])
+		if listed[id] == absent[id] {
+			t.Fatalf("%s: listed %v, absent %v", id, listed[id], absent[id])
 		}
 	}
 }
--- a/membership/wire/convert.go
+++ b/membership/wire/convert.go
@@ -9,7 +9,7 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// The words of the list.
+// Values of the role and state fields.
 const (
 	roleEntry    = "entry"
 	roleTarget   = "target"
@@ -39,7 +39,7 @@
 	return message
 }
 
-// VM converts the message; the error names the field that can't be read.
+// VM converts the message; the error names the invalid field.
 func (m VM) VM() (membership.VM, error) {
 	vm := membership.VM{
 		ID:      m.ID,
@@ -68,25 +68,25 @@
 	return vm, errors.WithMessagef(err, "membership: peer address of VM %s", m.ID)
 }
 
-func parseRole(word string) (membership.Role, error) {
-	switch word {
+func parseRole(role string) (membership.Role, error) {
+	switch role {
 	case roleEntry:
 		return membership.RoleEntry, nil
 	case roleTarget:
 		return membership.RoleTarget, nil
 	default:
-		return 0, errors.Errorf("unknown role %q", word)
+		return 0, errors.Errorf("unknown role %q", role)
 	}
 }
 
-func parseState(word string) (membership.State, error) {
-	switch word {
+func parseState(state string) (membership.State, error) {
+	switch state {
 	case stateLive:
 		return membership.StateLive, nil
 	case stateLeaving:
 		return membership.StateLeaving, nil
 	default:
-		return 0, errors.Errorf("unknown state %q", word)
+		return 0, errors.Errorf("unknown state %q", state)
 	}
 }
 
--- a/membership/wire/wire.go
+++ b/membership/wire/wire.go
@@ -1,14 +1,14 @@
-// Package wire has the typed messages of the platform's VM list.
+// Package wire defines the JSON messages of the platform's VM list.
 package wire
 
-// DefaultPath answers a GET with a ListAnswer, or with status 304 when the
-// list is still at the sequence named in QueryKnown.
+// A GET of DefaultPath returns a ListResponse, or status 304 when the list is
+// still at the sequence given in QueryKnown.
 const (
 	DefaultPath = "/vms/v1"
 	QueryKnown  = "known"
 )
 
-// VM is one row. Addresses are ip:port.
+// VM is one row of the list. Addresses have the form ip:port.
 type VM struct {
 	ID      string `json:"id"`
 	Role    string `json:"role"`
@@ -24,6 +24,6 @@
 // ListResponse is the list at one sequence.
 type ListResponse struct {
 	Sequence uint64 `json:"sequence"`
-	// VMs is present, as an empty list, also when there are none.
+	// VMs is an empty list, not null, when there are no VMs.
 	VMs []VM `json:"vms"`
 }
