--- a/proxy/keys/recorder.go
+++ b/proxy/keys/recorder.go
@@ -49,10 +49,10 @@
 // ErrUnavailable, ErrUnknown (the claim then has its ID, for Release). Concurrent
 // requests with the same key share one store call.
 //
-// The call is made with store.Prompt, so that it does not wait for a timeout
+// The call is made with store.WithFailFast, so that it does not wait for a timeout
 // during a store outage.
 func (r *Recorder) Record(ctx context.Context, key Key) (Claim, error) {
-	ctx = store.Prompt(ctx)
+	ctx = store.WithFailFast(ctx)
 	entry, first := r.cache.begin(key)
 	if !first {
 		return Claim{Key: key}, wait(ctx, entry)
@@ -175,7 +175,7 @@
 
 // Owner returns the VM that recorded the key. It reads the store once.
 func (r *Recorder) Owner(ctx context.Context, key Key) (vm string, known bool) {
-	ctx, cancel := context.WithTimeout(store.Prompt(ctx), r.options.Timeout)
+	ctx, cancel := context.WithTimeout(store.WithFailFast(ctx), r.options.Timeout)
 	defer cancel()
 	entry, err := r.options.Store.Get(ctx, path(key))
 	if err != nil {
--- a/store/paced/paced.go
+++ b/store/paced/paced.go
@@ -1,5 +1,5 @@
 // Package paced keeps the calls of one client of the store below its rate and, after
-// failures, at a random distance from each other. A call marked by store.Prompt is
+// failures, at a random distance from each other. A call marked by store.WithFailFast is
 // refused at once where another would wait.
 package paced
 
@@ -52,7 +52,7 @@
 
 // turn returns when the call may be sent, or an error when it must not be.
 func (k *KV) turn(ctx context.Context, c call) (turn, error) {
-	if store.IsPrompt(ctx) {
+	if store.IsFailFast(ctx) {
 		return k.pacer.admit()
 	}
 	return k.pacer.wait(ctx, c.urgent)
