--- a/control/decider/renew.go
+++ b/control/decider/renew.go
@@ -39,7 +39,7 @@
 	if code != result.OK {
 		return &peerpb.RenewResponse{Code: uint32(code)}, false
 	}
-	c.ledger.Hear(node, now)
+	c.ledger.RecordContact(node, now)
 	c.ledger.Acknowledge(node.ID, request.AppliedEpoch, request.AppliedSequence)
 	if request.Stopped {
 		c.ledger.Release(node.ID)
@@ -83,7 +83,7 @@
 	}
 	r := c.reports[node.ID]
 	response.ReportNames = r != nil && r.incomplete
-	if request.AppliedEpoch == issued.Epoch && request.AppliedSequence >= issued.First {
+	if request.AppliedEpoch == issued.Epoch && request.AppliedSequence >= issued.FirstSequence {
 		response.Unchanged = true
 		return response
 	}
@@ -172,7 +172,7 @@
 
 // rememberNode stores the hash of a node's identity.
 func (c *Core) rememberNode(ref *peerpb.NodeRef, node ledger.Node, r *nodeState) {
-	r.nodeHash = names.Node(ref)
+	r.nodeHash = names.HashNode(ref)
 	if other, ok := c.nodesByHash[r.nodeHash]; ok && other != node {
 		node = ledger.Node{}
 	}
--- a/control/decider/runner.go
+++ b/control/decider/runner.go
@@ -35,7 +35,7 @@
 	Configured func() *model.Account
 	// VMList returns the last VM list, its sequence and its age; ok is false if
 	// there is none.
-	VMList func() (list []ledger.Listed, sequence uint64, age time.Duration, ok bool)
+	VMList func() (list []ledger.ListedVM, sequence uint64, age time.Duration, ok bool)
 	// Publish sends a plan to all nodes. It must not wait for them.
 	Publish func(*plan.Plan)
 	// HastenNode asks a node to report. It must not wait for the node.
@@ -347,9 +347,9 @@
 	l := r.core.Ledger()
 	s.Deciding = true
 	s.Epoch = r.core.Epoch()
-	s.Nodes = l.Nodes()
-	s.Unlisted = l.Unlisted()
-	s.LedgerBytes = l.Bytes()
+	s.Nodes = l.NodeCount()
+	s.Unlisted = l.UnlistedCount()
+	s.LedgerBytes = l.RecordSize()
 	s.Explanation = r.core.PlannerOutput().Explanation
 	if err := l.Outstanding(r.options.Clock()).Check(l.Limits()); err != nil {
 		s.Over = err.Error()
--- a/control/holder/response.go
+++ b/control/holder/response.go
@@ -90,7 +90,7 @@
 // late reports whether a response may be outdated: the decider may have removed the
 // node since sending it.
 func (c *Core) late(sent SentRequest, now time.Time) bool {
-	if c.options.Params.Faults.KeepFloorsAfterPause || c.options.Params.Faults.TakeLateAnswers {
+	if c.options.Params.Faults.KeepFloorsAfterPause || c.options.Params.Faults.AcceptLateResponses {
 		return false
 	}
 	if now.Sub(sent.At) >= c.options.RequestTimeout || !sent.At.After(c.voidedAt) {
@@ -135,7 +135,7 @@
 // Otherwise borrowers still use more than the set grants, and the decider must keep
 // counting the larger floor of an earlier set.
 func (c *Core) acknowledge() {
-	if !c.coversLoans() && !c.options.Params.Faults.AcknowledgeLent {
+	if !c.coversLoans() && !c.options.Params.Faults.AcknowledgeLentFloors {
 		return
 	}
 	c.acknowledgedEpoch = c.epoch
--- a/control/ledger/ledger_test.go
+++ b/control/ledger/ledger_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// twoRegions is an account with one service in two places behind links.
+// twoRegions returns an account with one service in one place of each of two regions.
 func twoRegions(rps float64) *model.Account {
 	return &model.Account{
 		Name:     "test",
@@ -29,36 +29,36 @@
 }
 
 func node(vm string) Node {
-	return Node{ID: grant.NodeID{VM: vm, Incarnation: 1}, Region: "east", Address: vm + ":1", Listed: 1}
+	return Node{ID: grant.NodeID{VM: vm, Incarnation: 1}, Region: "east", Address: vm + ":1", ListSequence: 1}
 }
 
-// begun returns a ledger whose first write has been made.
-func begun(t *testing.T, nodes ...Node) *Ledger {
+// newTestLedger returns a ledger with nodes whose first write is confirmed.
+func newTestLedger(t *testing.T, nodes ...Node) *Ledger {
 	t.Helper()
-	l := New(DefaultParams(), 1, LimitsOf(twoRegions(100)))
+	l := New(DefaultParams(), 1, NewLimits(twoRegions(100)))
 	l.Rewrite(start)
-	l.Written()
+	l.ConfirmWrite()
 	for _, n := range nodes {
-		l.Hear(n, start)
+		l.RecordContact(n, start)
 	}
 	return l
 }
 
-func want(l *Ledger, n Node, floor, surplus float64) {
+func setWanted(l *Ledger, n Node, floor, surplus float64) {
 	w := make([]Amounts, len(l.Keys()))
-	w[0] = Amounts{Floor: AmountOf(floor), Surplus: AmountOf(surplus)}
-	l.Want(n.ID, w)
+	w[0] = Amounts{Floor: AmountFromRPS(floor), Surplus: AmountFromRPS(surplus)}
+	l.SetWanted(n.ID, w)
 }
 
 func commit(l *Ledger, now time.Time) bool {
 	if l.Propose(now) == nil {
 		return false
 	}
-	l.Written()
+	l.ConfirmWrite()
 	return true
 }
 
-func issued(t *testing.T, l *Ledger, n Node, now time.Time) (Amounts, uint64) {
+func issue(t *testing.T, l *Ledger, n Node, now time.Time) (Amounts, uint64) {
 	t.Helper()
 	set, ok := l.Issue(n.ID, now)
 	if !ok {
@@ -67,72 +67,70 @@
 	return set.Amounts[0], set.Sequence
 }
 
-// give commits amounts for a node and sends them.
-func give(t *testing.T, l *Ledger, n Node, floor, surplus float64) {
+func commitAndIssue(t *testing.T, l *Ledger, n Node, floor, surplus float64) {
 	t.Helper()
-	want(l, n, floor, surplus)
+	setWanted(l, n, floor, surplus)
 	commit(l, start)
-	issued(t, l, n, start)
+	issue(t, l, n, start)
 }
 
 func wantFloor(t *testing.T, l *Ledger, n Node, now time.Time, rps float64, when string) {
 	t.Helper()
-	if got, _ := issued(t, l, n, now); got.Floor != AmountOf(rps) {
+	if got, _ := issue(t, l, n, now); got.Floor != AmountFromRPS(rps) {
 		t.Fatalf("floor %v %s, want that of %v requests/s", got.Floor, when, rps)
 	}
 }
 
 func wantSurplus(t *testing.T, l *Ledger, n Node, now time.Time, rps float64, when string) {
 	t.Helper()
-	if got, _ := issued(t, l, n, now); got.Surplus != AmountOf(rps) {
+	if got, _ := issue(t, l, n, now); got.Surplus != AmountFromRPS(rps) {
 		t.Fatalf("surplus %v %s, want that of %v requests/s", got.Surplus, when, rps)
 	}
 }
 
-// A raise whose write has no answer must not reach the node: if the write
-// never happened, the next decider would not count it.
-func TestRaiseWaitsForItsWrite(t *testing.T) {
+// A raise must not be issued before its write is confirmed, or the next decider
+// might not count it.
+func TestRaiseIssuedOnlyAfterWrite(t *testing.T) {
 	a := node("a")
-	l := begun(t, a)
-	want(l, a, 40, 0)
+	l := newTestLedger(t, a)
+	setWanted(l, a, 40, 0)
 	if l.Propose(start) == nil {
-		t.Fatal("a raise needs a write")
+		t.Fatal("no write proposed for a raise")
 	}
 	wantFloor(t, l, a, start, 0, "before the write")
-	l.Written()
+	l.ConfirmWrite()
 	wantFloor(t, l, a, start, 40, "after the write")
 }
 
-// While a write that lowers a node is not settled, the old amount must not be
-// sent again either: the write may take effect, and the next decider then
-// counts only the lower one.
-func TestUnsettledLowerIsNotRaisedAgain(t *testing.T) {
+// While a write that lowers a node is pending, the old amount must not be issued
+// again: if the write takes effect, the next decider counts only the lower one.
+func TestPendingReductionLimitsIssuedAmount(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 40, 0)
-	want(l, a, 10, 0)
-	_, sequence := issued(t, l, a, start)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 40, 0)
+	setWanted(l, a, 10, 0)
+	_, sequence := issue(t, l, a, start)
 	l.Acknowledge(a.ID, 1, sequence)
-	want(l, b, 90, 0)
+	setWanted(l, b, 90, 0)
 	if l.Propose(start) == nil {
-		t.Fatal("a raise needs a write")
+		t.Fatal("no write proposed for a raise")
 	}
-	want(l, a, 40, 0)
-	wantFloor(t, l, a, start, 10, "while a lower amount was being written")
+	setWanted(l, a, 40, 0)
+	wantFloor(t, l, a, start, 10, "while the reduction is pending")
 }
 
-// A lowered floor is free only when the node acknowledged the lower one: the
-// message may be lost and the node go on with the old floor for days.
+// A lowered floor is freed only by an acknowledgement: if the message is lost, the
+// node keeps using the old floor.
 func TestLoweredFloorIsCountedUntilAcknowledged(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 100, 0)
-	want(l, a, 20, 0)
-	_, sequence := issued(t, l, a, start)
-	want(l, b, 80, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 100, 0)
+	setWanted(l, a, 20, 0)
+	_, sequence := issue(t, l, a, start)
+	setWanted(l, b, 80, 0)
 	later := start.Add(time.Hour)
-	l.Hear(a, later)
-	l.Hear(b, later)
+	l.RecordContact(a, later)
+	l.RecordContact(b, later)
 	commit(l, later)
 	wantFloor(t, l, b, later, 0, "before the acknowledgement")
 	l.Acknowledge(a.ID, 1, sequence)
@@ -140,171 +138,167 @@
 	wantFloor(t, l, b, later, 80, "after the acknowledgement")
 }
 
-// A surplus is free once it has run out with the margin, without any word of
-// its holder, but not earlier.
-func TestSurplusIsFreeAfterItsTimeAndMargin(t *testing.T) {
+// A surplus is freed after its TTL and margin without an acknowledgement, and not
+// earlier.
+func TestSurplusFreedAfterTTLAndMargin(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 0, 100)
-	want(l, a, 0, 0)
-	want(l, b, 0, 100)
-	ends := start.Add(l.params.Wait(l.params.SurplusTTL))
-	commit(l, ends.Add(-time.Nanosecond))
-	wantSurplus(t, l, b, ends.Add(-time.Nanosecond), 0, "before its time ended")
-	commit(l, ends)
-	wantSurplus(t, l, b, ends, 100, "after the surplus ended")
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 0, 100)
+	setWanted(l, a, 0, 0)
+	setWanted(l, b, 0, 100)
+	expiry := start.Add(l.params.WithMargin(l.params.SurplusTTL))
+	commit(l, expiry.Add(-time.Nanosecond))
+	wantSurplus(t, l, b, expiry.Add(-time.Nanosecond), 0, "before expiry")
+	commit(l, expiry)
+	wantSurplus(t, l, b, expiry, 100, "after expiry")
 }
 
-// A failure domain is gone and its nodes with it: the VM list still shows
-// them, then does not. Their floors must stay counted for the removal time
-// after the list dropped them, and be free then.
-func TestFloorsOfEndedNodes(t *testing.T) {
+// The floor of a node that left the VM list stays reserved for the removal time
+// and is freed after it.
+func TestFloorFreedAfterRemovalTime(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 100, 0)
 	dropped := start.Add(time.Hour)
-	listed := []Listed{{VM: "b", Address: "b:1"}}
-	l.Observe(listed, 2, dropped)
-	want(l, b, 100, 0)
-	free := dropped.Add(l.params.Wait(l.params.RemovalTime))
-	l.Hear(b, free)
-	l.Observe(listed, 2, free.Add(-time.Nanosecond))
+	listed := []ListedVM{{VM: "b", Address: "b:1"}}
+	l.ObserveVMs(listed, 2, dropped)
+	setWanted(l, b, 100, 0)
+	free := dropped.Add(l.params.WithMargin(l.params.RemovalTime))
+	l.RecordContact(b, free)
+	l.ObserveVMs(listed, 2, free.Add(-time.Nanosecond))
 	commit(l, free.Add(-time.Nanosecond))
-	wantFloor(t, l, b, free, 0, "before its time ended")
-	l.Observe(listed, 2, free)
+	wantFloor(t, l, b, free, 0, "before the removal time")
+	l.ObserveVMs(listed, 2, free)
 	commit(l, free)
 	wantFloor(t, l, b, free, 100, "after the removal time")
 }
 
-// The list service goes out just after it dropped a VM that is cut off. The
-// decider offers the last reading again and again for an hour. The VM may have
-// returned unseen, so its floor stays counted until a reading of after the
-// outage still lacks it.
-func TestListOutageIsNoAbsence(t *testing.T) {
+// During an outage of the list service, the last reading is passed repeatedly. A VM
+// missing from it may be back, so its floor stays reserved until a new reading.
+func TestVMListOutageDoesNotFreeFloor(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 100, 0)
-	listed := []Listed{{VM: "b", Address: "b:1"}}
-	want(l, b, 100, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 100, 0)
+	listed := []ListedVM{{VM: "b", Address: "b:1"}}
+	setWanted(l, b, 100, 0)
 	back := start.Add(time.Hour)
 	for now := start; now.Before(back); now = now.Add(time.Minute) {
-		l.Hear(b, now)
-		l.Observe(listed, 2, start)
+		l.RecordContact(b, now)
+		l.ObserveVMs(listed, 2, start)
 		commit(l, now)
-		wantFloor(t, l, b, now, 0, "while the list was out")
+		wantFloor(t, l, b, now, 0, "during the list outage")
 	}
-	l.Hear(b, back)
-	l.Observe(listed, 2, back)
+	l.RecordContact(b, back)
+	l.ObserveVMs(listed, 2, back)
 	commit(l, back)
-	wantFloor(t, l, b, back, 100, "once a reading told the absence")
+	wantFloor(t, l, b, back, 100, "after a new reading without the VM")
 }
 
-// A process restarts on its VM, which the list goes on to show. The floor of
-// its first life must come back in the end, and only after the removal time.
-func TestFloorOfAnEarlierLifeOfTheVM(t *testing.T) {
+// After a process restart the VM stays listed. The floor of the previous
+// incarnation is freed after the removal time and not earlier.
+func TestFloorOfPreviousIncarnationFreed(t *testing.T) {
 	a := node("a")
 	second := a
 	second.ID.Incarnation = 2
-	l := begun(t, a)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a)
+	commitAndIssue(t, l, a, 100, 0)
 	restarted := start.Add(time.Second)
-	free := restarted.Add(l.params.Wait(l.params.RemovalTime))
+	free := restarted.Add(l.params.WithMargin(l.params.RemovalTime))
 	for now := restarted; now.Before(free); now = now.Add(time.Second) {
-		l.Hear(second, now)
-		l.Observe([]Listed{{VM: "a", Address: "a:1"}}, 1, now)
-		want(l, second, 100, 0)
+		l.RecordContact(second, now)
+		l.ObserveVMs([]ListedVM{{VM: "a", Address: "a:1"}}, 1, now)
+		setWanted(l, second, 100, 0)
 		commit(l, now)
-		if got, _ := issued(t, l, second, now); got.Floor != 0 {
-			t.Fatalf("gave %v after %s", got, now.Sub(restarted))
+		if got, _ := issue(t, l, second, now); got.Floor != 0 {
+			t.Fatalf("issued %v after %s", got, now.Sub(restarted))
 		}
 	}
 	commit(l, free)
 	wantFloor(t, l, second, free, 100, "after the removal time")
 }
 
-// A decider whose VM list lags behind its predecessor's does not know a new
-// node yet, which is no sign that it ended.
-func TestOlderListProvesNothing(t *testing.T) {
+// A VM list older than the one that contained a node does not show that it ended.
+func TestOlderVMListDoesNotRemoveNode(t *testing.T) {
 	a := node("a")
-	a.Listed = 7
-	l := begun(t, a)
-	give(t, l, a, 100, 0)
+	a.ListSequence = 7
+	l := newTestLedger(t, a)
+	commitAndIssue(t, l, a, 100, 0)
 	later := start.Add(time.Hour)
-	l.Observe(nil, 6, start)
+	l.ObserveVMs(nil, 6, start)
 	l.Propose(later)
-	if l.Nodes() != 1 {
-		t.Fatal("removed by a list older than the one that showed the node")
+	if l.NodeCount() != 1 {
+		t.Fatal("node removed by a VM list older than the one that contained it")
 	}
 }
 
-// An operator lowers a capacity below what is out. Nothing may be raised until
-// acknowledgements bring the sum under it.
-func TestNoRaiseOverALoweredCapacity(t *testing.T) {
+// After a capacity is lowered below the outstanding amounts, nothing is raised until
+// acknowledgements bring the sum below it.
+func TestNoRaiseAboveLoweredCapacity(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a, b)
-	give(t, l, a, 80, 0)
+	l := newTestLedger(t, a, b)
+	commitAndIssue(t, l, a, 80, 0)
 	lowered := twoRegions(50)
 	lowered.Revision = 2
-	l.SetLimits(LimitsOf(lowered))
-	want(l, a, 20, 0)
-	want(l, b, 30, 0)
+	l.SetLimits(NewLimits(lowered))
+	setWanted(l, a, 20, 0)
+	setWanted(l, b, 30, 0)
 	commit(l, start)
-	wantFloor(t, l, b, start, 0, "while more than the capacity is out")
-	_, sequence := issued(t, l, a, start)
+	wantFloor(t, l, b, start, 0, "while the outstanding amounts exceed the capacity")
+	_, sequence := issue(t, l, a, start)
 	l.Acknowledge(a.ID, 1, sequence)
 	commit(l, start)
-	wantFloor(t, l, b, start, 30, "once there was room")
-	if l.SetLimits(LimitsOf(twoRegions(100))) {
-		t.Fatal("took an older configuration")
+	wantFloor(t, l, b, start, 30, "once capacity was free")
+	if l.SetLimits(NewLimits(twoRegions(100))) {
+		t.Fatal("an older configuration was accepted")
 	}
 }
 
-// A decider dies. The next one must count what the last one gave: floors for
-// good, surplus for its whole time from the takeover, moves with their age.
-func TestTakeoverKeepsWhatWasGiven(t *testing.T) {
+// A takeover keeps the floors, counts each surplus for a full TTL from the takeover,
+// and keeps the moves with their age.
+func TestTakeoverKeepsGrantsAndMoves(t *testing.T) {
 	a, b := node("a"), node("b")
-	l := begun(t, a)
-	want(l, a, 50, 50)
+	l := newTestLedger(t, a)
+	setWanted(l, a, 50, 50)
 	l.SetPlan(Plan{Body: []byte("{}"), Sequence: 3}, []Move{{Service: "desk", Caller: "east", Place: "w1", Delta: 100}},
 		time.Minute, time.Hour, start.Add(-time.Minute))
 	value := l.Propose(start)
-	l.Written()
-	issued(t, l, a, start)
+	l.ConfirmWrite()
+	issue(t, l, a, start)
 
-	next, err := Load(value, DefaultParams(), 2, LimitsOf(twoRegions(100)), start)
+	next, err := Load(value, DefaultParams(), 2, NewLimits(twoRegions(100)), start)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.Rewrite(start)
-	next.Written()
-	next.Hear(b, start)
-	want(next, a, 50, 0)
-	want(next, b, 0, 50)
+	next.ConfirmWrite()
+	next.RecordContact(b, start)
+	setWanted(next, a, 50, 0)
+	setWanted(next, b, 0, 50)
 	commit(next, start)
-	if got, _ := issued(t, next, b, start); got != (Amounts{}) {
-		t.Fatalf("gave %v at once after the takeover", got)
+	if got, _ := issue(t, next, b, start); got != (Amounts{}) {
+		t.Fatalf("issued %v immediately after the takeover", got)
 	}
-	ends := start.Add(next.params.Wait(next.params.SurplusTTL))
-	commit(next, ends)
-	if got, _ := issued(t, next, b, ends); got.Surplus != AmountOf(50) {
-		t.Fatalf("gave %v after the last surplus ended", got)
+	expiry := start.Add(next.params.WithMargin(next.params.SurplusTTL))
+	commit(next, expiry)
+	if got, _ := issue(t, next, b, expiry); got.Surplus != AmountFromRPS(50) {
+		t.Fatalf("issued %v after the previous surplus expired", got)
 	}
 	moves := next.Moves()
 	if len(moves) != 1 || moves[0].Delta != 100 || moves[0].At.Before(start.Add(-time.Minute)) {
 		t.Fatalf("moves after the takeover: %+v", moves)
 	}
-	if _, err := Load(value, DefaultParams(), 1, LimitsOf(twoRegions(100)), start); err == nil {
-		t.Fatal("took over from an epoch that is not older")
+	if _, err := Load(value, DefaultParams(), 1, NewLimits(twoRegions(100)), start); err == nil {
+		t.Fatal("loaded a ledger whose epoch is not older")
 	}
 }
 
-// More is wanted for a region, and for the link into it, than they carry.
-func TestRegionAndLinkBoundTheSum(t *testing.T) {
+// The wanted amounts exceed the limits of a region and of the link into it.
+func TestRegionAndLinkLimitAmounts(t *testing.T) {
 	a, far := node("a"), node("far")
 	far.Region = "west"
-	l := begun(t, a, far)
-	want(l, a, 80, 0)
-	want(l, far, 80, 0)
+	l := newTestLedger(t, a, far)
+	setWanted(l, a, 80, 0)
+	setWanted(l, far, 80, 0)
 	commit(l, start)
 	if err := l.Allowed().Check(l.Limits()); err != nil {
 		t.Fatal(err)
@@ -312,37 +306,37 @@
 	wantFloor(t, l, far, start, 20, "to a node outside the region")
 }
 
-// A VM is so new that no list shows it. If it ended, no list could ever tell,
-// so it gets only what ends by itself.
+// A node that no VM list has contained gets only surplus: no list could show that it
+// ended, and its floor would never be freed.
 func TestUnlistedNodeGetsNoFloor(t *testing.T) {
 	a := node("a")
-	a.Listed = 0
-	l := begun(t, a)
-	want(l, a, 50, 50)
+	a.ListSequence = 0
+	l := newTestLedger(t, a)
+	setWanted(l, a, 50, 50)
 	commit(l, start)
-	if got, _ := issued(t, l, a, start); got != (Amounts{Surplus: AmountOf(50)}) {
-		t.Fatalf("gave %v", got)
+	if got, _ := issue(t, l, a, start); got != (Amounts{Surplus: AmountFromRPS(50)}) {
+		t.Fatalf("issued %v", got)
 	}
-	l.Observe([]Listed{{VM: "a", Address: "a:1"}}, 1, start)
+	l.ObserveVMs([]ListedVM{{VM: "a", Address: "a:1"}}, 1, start)
 	commit(l, start)
-	wantFloor(t, l, a, start, 50, "once it was listed")
+	wantFloor(t, l, a, start, 50, "after it was listed")
 }
 
-// A planned stop frees what the node had, and writes that at once: the next
-// decider would otherwise count it until the removal time.
-func TestStoppedNodeIsFreeAndWritten(t *testing.T) {
+// A release is written at once, or the next decider would count the grants until the
+// removal time.
+func TestReleaseIsWrittenAtOnce(t *testing.T) {
 	a := node("a")
-	l := begun(t, a)
-	give(t, l, a, 100, 0)
+	l := newTestLedger(t, a)
+	commitAndIssue(t, l, a, 100, 0)
 	l.Release(a.ID)
 	l.SetLeaving(a.ID, false)
 	if !commit(l, start) {
-		t.Fatal("not written")
+		t.Fatal("no write proposed after a release")
 	}
 	if use := l.Reserved(); use.Keys[l.Keys()[0]] != 0 {
-		t.Fatalf("%d still counted in the store", use.Keys[l.Keys()[0]])
+		t.Fatalf("%d still reserved in the store", use.Keys[l.Keys()[0]])
 	}
 	if !l.States(start)[0].Leaving {
-		t.Fatal("a late report made a stopped node a live one")
+		t.Fatal("a late report cleared the leaving state of a stopped node")
 	}
 }
--- a/control/ledger/node.go
+++ b/control/ledger/node.go
@@ -7,55 +7,58 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Node is one life of a node as the ledger knows it.
+// Node is one incarnation of a node.
 type Node struct {
 	ID     grant.NodeID
 	Region model.RegionName
-	// Address is where the node takes messages from other nodes. Two lives
-	// with one VM identifier are on the same VM only if their addresses agree.
+	// Address is the node's peer address. Two incarnations with the same VM
+	// identifier are on the same VM only if their addresses are equal.
 	Address string
-	// Listed is the sequence of a VM list that showed the node, 0 for none.
-	Listed uint64
+	// ListSequence is the sequence of the newest VM list that contained the node,
+	// 0 if none did.
+	ListSequence uint64
 }
 
-// holding is what one node may have in force.
+// nodeGrants tracks the amounts that one node may have in force. At all times,
+// for each key,
 //
 //	in force <= allowed <= reserved
 //
-// holds for each key at all times, and allowed <= the pending write too.
-type holding struct {
+// and allowed is also at most the amount in the pending write.
+type nodeGrants struct {
 	node Node
-	// reserved is what the store's ledger counts for the node.
+	// reserved holds the amounts in the stored ledger.
 	reserved []Amounts
-	// allowed bounds what may be sent.
+	// allowed bounds the amounts that may be issued.
 	allowed []Amounts
-	// next is what the pending write counts, if proposed; it is a buffer
-	// otherwise.
+	// next holds the amounts in the pending write if proposed is true and is
+	// scratch space otherwise.
 	next     []Amounts
 	proposed bool
-	// wanted is what the allocation asks for.
+	// wanted holds the amounts requested by the allocation.
 	wanted []Amounts
-	// latest is the content last sent, first in the set with sequence
-	// latestFrom. Its surplus ends at latestUntil.
-	latest      []Amounts
-	latestFrom  uint64
-	latestUntil time.Time
-	// older is the largest of all earlier contents that may still be in
-	// force because nothing later has been acknowledged.
+	// latest holds the amounts last issued, first in the set with sequence
+	// latestFirstSequence. Their surplus expires at latestUntil.
+	latest              []Amounts
+	latestFirstSequence uint64
+	latestUntil         time.Time
+	// older holds the largest earlier amounts that may still be in force because
+	// nothing later has been acknowledged.
 	older      []Amounts
 	olderUntil time.Time
-	// first and heard are when this decider first and last heard the node.
-	first, heard time.Time
-	// unlisted is since when the VM list does not show the node, unlistedUntil
-	// is the last reading that told so.
-	unlisted, unlistedUntil time.Time
-	// leaving tells that the node is in a planned stop, stopped that it has
-	// closed its admission for good.
+	// firstContact and lastContact are the times of the first and last contact
+	// with this decider.
+	firstContact, lastContact time.Time
+	// unlistedSince and lastUnlisted are the times of the first and last
+	// consecutive readings of the VM list without the node.
+	unlistedSince, lastUnlisted time.Time
+	// leaving is true during a planned stop, stopped once the node has closed its
+	// admission permanently.
 	leaving, stopped bool
 }
 
-func newHolding(node Node, keys int) *holding {
-	return &holding{
+func newNodeGrants(node Node, keys int) *nodeGrants {
+	return &nodeGrants{
 		node:     node,
 		reserved: make([]Amounts, keys),
 		allowed:  make([]Amounts, keys),
@@ -66,7 +69,7 @@
 	}
 }
 
-func (h *holding) grow(keys int) {
+func (h *nodeGrants) grow(keys int) {
 	h.reserved = grow(h.reserved, keys)
 	h.allowed = grow(h.allowed, keys)
 	h.next = grow(h.next, keys)
@@ -76,7 +79,7 @@
 }
 
 // inForce returns the largest amounts that may be in force for key k.
-func (h *holding) inForce(k int, now time.Time) Amounts {
+func (h *nodeGrants) inForce(k int, now time.Time) Amounts {
 	latest := h.latest[k]
 	if !now.Before(h.latestUntil) {
 		latest.Surplus = 0
@@ -88,9 +91,9 @@
 	return latest.max(older)
 }
 
-// retire counts the latest content as one that may still be in force under a
-// new one.
-func (h *holding) retire(now time.Time) {
+// supersedeLatest merges the latest amounts into older, before new ones are
+// issued.
+func (h *nodeGrants) supersedeLatest(now time.Time) {
 	for k := range h.older {
 		h.older[k] = h.inForce(k, now)
 	}
@@ -99,8 +102,7 @@
 	}
 }
 
-// clear counts nothing in force any more.
-func (h *holding) clear() {
+func (h *nodeGrants) clearInForce() {
 	clear(h.latest)
 	clear(h.older)
 	h.latestUntil = time.Time{}
--- a/control/ledger/remove.go
+++ b/control/ledger/remove.go
@@ -6,76 +6,72 @@
 	"github.com/yuccaroute/yuccaroute/api/grant"
 )
 
-// Listed is one entry VM as the VM list shows it.
-type Listed struct {
+// ListedVM is an entry VM in the VM list.
+type ListedVM struct {
 	VM, Address string
 }
 
-// Observe takes in a reading of the VM list that was made at readAt. Sequence
-// must be above 0. Only a list at least as new as one that showed a node can
-// tell that it is gone: a decider whose list lags behind its predecessor's would
-// take a new VM for an ended one.
-//
-// The time of the reading counts, not that of the call: while the list service
-// is out the same reading is offered again and again, and the VM may have
-// returned unseen.
-func (l *Ledger) Observe(list []Listed, sequence uint64, readAt time.Time) {
-	shown := make(map[Listed]bool, len(list))
+// ObserveVMs records a VM list that was read at readAt; sequence must be positive. A
+// list older than one that contained a node is no evidence that the node has ended.
+// readAt counts, not the time of the call: during an outage of the list service the
+// same reading is passed repeatedly, and the VM may be back.
+func (l *Ledger) ObserveVMs(list []ListedVM, sequence uint64, readAt time.Time) {
+	listed := make(map[ListedVM]bool, len(list))
 	for _, v := range list {
-		shown[v] = true
+		listed[v] = true
 	}
 	for _, h := range l.order {
-		if shown[Listed{VM: h.node.ID.VM, Address: h.node.Address}] {
-			h.node.Listed = max(h.node.Listed, sequence)
-			h.unlisted = time.Time{}
+		if listed[ListedVM{VM: h.node.ID.VM, Address: h.node.Address}] {
+			h.node.ListSequence = max(h.node.ListSequence, sequence)
+			h.unlistedSince = time.Time{}
 			continue
 		}
-		older := sequence < h.node.Listed && !l.params.Faults.AnyListProves
-		if older {
+		stale := sequence < h.node.ListSequence && !l.params.Faults.TrustOldVMList
+		if stale {
 			continue
 		}
-		if h.unlisted.IsZero() {
-			h.unlisted = readAt
+		if h.unlistedSince.IsZero() {
+			h.unlistedSince = readAt
 		}
-		h.unlistedUntil = readAt
+		h.lastUnlisted = readAt
 	}
 }
 
-// removable returns the nodes whose floors may be given to others.
-func (l *Ledger) removable(now time.Time) map[grant.NodeID]bool {
-	var gone map[grant.NodeID]bool
+// removableNodes returns the nodes whose floors may be reassigned.
+func (l *Ledger) removableNodes(now time.Time) map[grant.NodeID]bool {
+	var removed map[grant.NodeID]bool
 	for _, h := range l.order {
-		if !l.ended(h, now) {
+		if !l.canRemove(h, now) {
 			continue
 		}
-		if gone == nil {
-			gone = make(map[grant.NodeID]bool)
+		if removed == nil {
+			removed = make(map[grant.NodeID]bool)
 		}
-		gone[h.node.ID] = true
+		removed[h.node.ID] = true
 	}
-	return gone
+	return removed
 }
 
-// ended reports whether a node has certainly ended or holds nothing. Silence
-// alone proves nothing: a node that is cut off goes on with its floors.
-func (l *Ledger) ended(h *holding, now time.Time) bool {
-	if l.params.Faults.FreeSilentFloors {
+// canRemove reports whether a node has certainly ended or holds nothing. Lack of
+// contact alone is not enough: a partitioned node keeps using its floors.
+func (l *Ledger) canRemove(h *nodeGrants, now time.Time) bool {
+	if l.params.Faults.FreeUnreachableFloors {
 		return !now.Before(h.latestUntil) && !now.Before(h.olderUntil)
 	}
-	wait := l.params.Wait(l.params.RemovalTime)
-	if now.Sub(h.heard) < wait {
+	wait := l.params.WithMargin(l.params.RemovalTime)
+	if now.Sub(h.lastContact) < wait {
 		return false
 	}
 	if l.holdsNothing(h, now) {
 		return true
 	}
-	if !h.unlisted.IsZero() && h.unlistedUntil.Sub(h.unlisted) >= wait {
+	if !h.unlistedSince.IsZero() && h.lastUnlisted.Sub(h.unlistedSince) >= wait {
 		return true
 	}
-	return l.succeeded(h, now, wait)
+	return l.replacedOnSameVM(h, now, wait)
 }
 
-func (l *Ledger) holdsNothing(h *holding, now time.Time) bool {
+func (l *Ledger) holdsNothing(h *nodeGrants, now time.Time) bool {
 	for k := range l.keys {
 		if h.inForce(k, now) != (Amounts{}) {
 			return false
@@ -84,19 +80,17 @@
 	return true
 }
 
-// succeeded reports whether another life of the same VM at the same address
-// has been heard for the removal time while this one was silent. The VM list
-// goes on to show the VM, so it can never tell that the first life ended, and
-// its floors would be lost for good. Both lives share the network of the VM,
-// so the silent one has ended or is not scheduled, and a process that was not
-// scheduled for so long drops its floors by itself.
-func (l *Ledger) succeeded(h *holding, now time.Time, wait time.Duration) bool {
+// replacedOnSameVM reports whether another incarnation on the same VM has been in
+// contact for the removal time while this one was not. Both share the VM's network, so
+// this one has ended or is paused long enough to drop its floors. The VM list cannot
+// show that, because the VM stays listed.
+func (l *Ledger) replacedOnSameVM(h *nodeGrants, now time.Time, wait time.Duration) bool {
 	for _, o := range l.order {
 		if o == h || o.node.ID.VM != h.node.ID.VM || o.node.Address != h.node.Address {
 			continue
 		}
-		recent := now.Sub(o.heard) < l.params.SurplusTTL
-		if recent && o.first.After(h.heard) && now.Sub(o.first) >= wait {
+		recent := now.Sub(o.lastContact) < l.params.SurplusTTL
+		if recent && o.firstContact.After(h.lastContact) && now.Sub(o.firstContact) >= wait {
 			return true
 		}
 	}
