--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -123,7 +123,7 @@
 	return outcome{}, false
 }
 
-func (g *Gateway) sendToOwner(ctx context.Context, r *request, o *owners.Owner) (*forward.Answer, error) {
+func (g *Gateway) sendToOwner(ctx context.Context, r *request, o *owners.Owner) (*forward.Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.route.Kind == site.Idempotent {
@@ -155,7 +155,7 @@
 }
 
 // delegatedOutcome converts an owner's answer to an outcome.
-func delegatedOutcome(a *forward.Answer) outcome {
+func delegatedOutcome(a *forward.Response) outcome {
 	code := result.OK
 	if number, err := strconv.Atoi(a.Header.Get(result.HeaderResult)); err == nil {
 		code = result.Code(number)
@@ -169,13 +169,13 @@
 }
 
 // ownerTime returns the owner's processing time, if the answer states it.
-func ownerTime(a *forward.Answer) (time.Duration, bool) {
+func ownerTime(a *forward.Response) (time.Duration, bool) {
 	millis, err := strconv.ParseInt(a.Header.Get(fieldOwnerMillis), 10, 64)
 	return time.Duration(millis) * time.Millisecond, err == nil
 }
 
 // delegationResult returns the metric tag for the end of a delegation.
-func delegationResult(a *forward.Answer, err error) string {
+func delegationResult(a *forward.Response, err error) string {
 	switch {
 	case err != nil:
 		return "failed"
--- a/edge/gateway/probe.go
+++ b/edge/gateway/probe.go
@@ -39,7 +39,7 @@
 	}
 	answer, err := conn.Exchange(ctx, &forward.Request{
 		Method: http.MethodGet, URI: path, Host: t.Address, Header: http.Header{},
-		Deadline: time.Now().Add(limit), MaxAnswerBytes: maxProbeBytes,
+		Deadline: time.Now().Add(limit), MaxResponseBytes: maxProbeBytes,
 		Dialect: &forward.Dialect{DeadlineField: g.options.Fields.Deadline, IDField: g.options.Fields.RequestID, ID: "probe", CloseDelimited: true},
 	})
 	p.Put(conn)
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -33,7 +33,7 @@
 // attempt is the result of sending a request to one target.
 type attempt struct {
 	decision placing.Decision
-	answer   *forward.Answer
+	answer   *forward.Response
 	// notRun is set only if the request certainly did not run.
 	notRun bool
 	code   result.Code
@@ -240,7 +240,7 @@
 
 // sendOverConn exchanges the request for an answer. It turns a panic into a failed attempt, so
 // that a request that triggers one cannot crash one VM after another through retries.
-func (g *Gateway) sendOverConn(ctx context.Context, r *request, d placing.Decision, conn *forward.Conn) (answer *forward.Answer, err error) {
+func (g *Gateway) sendOverConn(ctx context.Context, r *request, d placing.Decision, conn *forward.Conn) (answer *forward.Response, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			g.options.Logger.WithFields(logrus.Fields{"id": r.id, "panic": cause, "stack": string(debug.Stack())}).
@@ -262,7 +262,7 @@
 }
 
 // classify derives the result of an attempt from the answer or the error.
-func (g *Gateway) classify(d placing.Decision, answer *forward.Answer, err error) attempt {
+func (g *Gateway) classify(d placing.Decision, answer *forward.Response, err error) attempt {
 	a := attempt{decision: d, answer: answer}
 	var failed *forward.Error
 	switch {
@@ -298,7 +298,7 @@
 	return placing.Failed
 }
 
-func isServerError(a *forward.Answer) bool { return a.Status >= http.StatusInternalServerError }
+func isServerError(a *forward.Response) bool { return a.Status >= http.StatusInternalServerError }
 
 // resolveAttempt decides after an attempt whether the request is done. It returns false if the
 // request may be retried.
--- a/edge/gateway/serve.go
+++ b/edge/gateway/serve.go
@@ -43,7 +43,7 @@
 	attempts   int
 	mayHaveRun bool
 	// lastFailure is the last error response that a target returned.
-	lastFailure *forward.Answer
+	lastFailure *forward.Response
 	// fromPeer is set if another VM delegated the request to this one.
 	fromPeer bool
 	// fingerprint is computed on first use by Gateway.fingerprint.
@@ -56,7 +56,7 @@
 // outcome is the result of a request.
 type outcome struct {
 	code   result.Code
-	answer *forward.Answer
+	answer *forward.Response
 	// retryAfter is the time after which a refused request is worth retrying.
 	retryAfter time.Duration
 	reason     string
@@ -124,7 +124,7 @@
 	}
 	r.out = forward.Request{
 		Method: r.in.Method, URI: r.in.Target, Host: r.in.Host, Header: r.in.Header.Clone(),
-		Length: int64(len(r.in.Body)), Deadline: r.deadline, MaxAnswerBytes: g.options.MaxAnswerBytes,
+		Length: int64(len(r.in.Body)), Deadline: r.deadline, MaxResponseBytes: g.options.MaxAnswerBytes,
 		Dialect: &forward.Dialect{
 			DeadlineField: g.options.Fields.Deadline, IDField: g.options.Fields.RequestID, ID: r.id,
 			CloseDelimited: true,
@@ -166,7 +166,7 @@
 	}
 	if a := end.answer; a != nil {
 		out := &serve.Response{Status: a.Status, Header: a.Header, Body: a.Body, NoBody: a.NoBody}
-		if length := a.LengthField(); len(length) > 0 {
+		if length := a.ContentLengthHeader(); len(length) > 0 {
 			out.ContentLength = length[0]
 		}
 		return out
--- a/node/kept.go
+++ b/node/kept.go
@@ -86,7 +86,7 @@
 		header[field.Name] = field.Values
 	}
 	return &kept.Answer{
-		Answer: forward.Answer{Status: int(r.Status), Header: header, Body: r.Body, NoBody: r.NoBody},
+		Response: forward.Response{Status: int(r.Status), Header: header, Body: r.Body, NoBody: r.NoBody},
 		Place:  r.Place,
 		Target: r.Target,
 	}
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -19,7 +19,7 @@
 // attempt is how one sending of a request ended. The zero value is no attempt.
 type attempt struct {
 	permission permission
-	answer     *forward.Answer
+	answer     *forward.Response
 	code       result.Code
 	made       bool
 }
@@ -58,9 +58,9 @@
 }
 
 // dropAnswer frees the memory of an answer.
-func (q *request) dropAnswer(a *forward.Answer) {
+func (q *request) dropAnswer(a *forward.Response) {
 	if a != nil {
-		q.account.bytes.Give(a.Reserved)
+		q.account.bytes.Give(a.ReservedBytes)
 	}
 }
 
@@ -106,8 +106,8 @@
 		return a
 	}
 	p.learn(permission, answer, took)
-	if q.out.Length > p.options.StreamOverBytes && answer.Writing > 0 {
-		q.service.state.sending.observe(q.out.Length, answer.Writing)
+	if q.out.Length > p.options.StreamOverBytes && answer.SendDuration > 0 {
+		q.service.state.sending.observe(q.out.Length, answer.SendDuration)
 	}
 	if answer.Shed {
 		q.dropAnswer(answer)
@@ -167,10 +167,10 @@
 }
 
 // learn takes from an answer what it tells of the target.
-func (p *Proxy) learn(permission permission, answer *forward.Answer, took time.Duration) {
+func (p *Proxy) learn(permission permission, answer *forward.Response, took time.Duration) {
 	state := permission.target.state
 	now := p.now()
-	if answer.Leaving {
+	if answer.Draining {
 		state.ToldLeaving()
 	}
 	if answer.Shed {
--- a/proxy/bench_test.go
+++ b/proxy/bench_test.go
@@ -95,7 +95,7 @@
 		m.Services[0].ConnectionsPerTarget = 3 * benchSlots
 		m.Services[0].MaxRequestBytes = maxBenchBytes
 	}, t.Addr().String())
-	s, err := ingress.Start(ingress.Options{Address: "127.0.0.1:0", Handler: p, Bodies: p})
+	s, err := ingress.Start(ingress.Options{Address: "127.0.0.1:0", Handler: p, BodyAdmitter: p})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -23,7 +23,7 @@
 	}
 	if coming := comingBody(r.Body); coming != nil {
 		q.coming = coming
-		q.out.Source = coming
+		q.out.BodySource = coming
 		q.out.Length = r.ContentLength
 		return nil
 	}
@@ -64,7 +64,7 @@
 	if !ok {
 		return nil
 	}
-	if _, whole := collected.WholeAt(); whole {
+	if _, whole := collected.CompletedAt(); whole {
 		return nil
 	}
 	return collected
@@ -77,7 +77,7 @@
 	if q.coming == nil {
 		return time.Since(sent)
 	}
-	wholeAt, whole := q.coming.WholeAt()
+	wholeAt, whole := q.coming.CompletedAt()
 	if !whole {
 		return 0
 	}
@@ -97,7 +97,7 @@
 		return buffered.RawBodyBuffers(), nil
 	}
 	if collected, ok := body.(*ingress.Body); ok {
-		pieces, _ := collected.Pieces()
+		pieces, _ := collected.Buffers()
 		return pieces, nil
 	}
 	whole, err := io.ReadAll(io.LimitReader(body, limit+1))
--- a/proxy/caller.go
+++ b/proxy/caller.go
@@ -18,7 +18,7 @@
 	BodyReserved() bool
 }
 
-var _ caller = (*ingress.Writer)(nil)
+var _ caller = (*ingress.ResponseWriter)(nil)
 
 // plainCaller stands in for servers that add nothing.
 type plainCaller struct{ began time.Time }
--- a/proxy/caller_test.go
+++ b/proxy/caller_test.go
@@ -17,7 +17,7 @@
 
 func serveCallers(t *testing.T, p *Proxy) *ingress.Server {
 	t.Helper()
-	s, err := ingress.Start(ingress.Options{Address: "127.0.0.1:0", Handler: p, Bodies: p})
+	s, err := ingress.Start(ingress.Options{Address: "127.0.0.1:0", Handler: p, BodyAdmitter: p})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/proxy/ending.go
+++ b/proxy/ending.go
@@ -8,7 +8,7 @@
 // ending is how a request ended: with the whole answer of a target in a place,
 // or refused.
 type ending struct {
-	answer *forward.Answer
+	answer *forward.Response
 	// place and target are the fields that name who answered.
 	place, target []string
 	// refusal is set when answer is nil.
--- a/proxy/forward/conn.go
+++ b/proxy/forward/conn.go
@@ -61,7 +61,7 @@
 
 // Exchange sends one request and returns the target's whole answer. Every
 // error is an *Error. The connection is usable again only if Reusable says so.
-func (c *Conn) Exchange(ctx context.Context, r *Request) (*Answer, error) {
+func (c *Conn) Exchange(ctx context.Context, r *Request) (*Response, error) {
 	if !c.clean {
 		return nil, newError(result.ConnectFailed, errUsed)
 	}
@@ -70,7 +70,7 @@
 		return nil, newError(result.DeadlineBeforeSend, ctx.Err())
 	}
 	c.clean = false
-	c.meter.left = maxHeaderBytes + r.MaxAnswerBytes
+	c.meter.left = maxHeaderBytes + r.MaxResponseBytes
 	if err := c.conn.SetDeadline(r.Deadline); err != nil {
 		return nil, newError(result.ConnectFailed, err)
 	}
@@ -89,9 +89,9 @@
 	return answer, err
 }
 
-func (c *Conn) run(ctx context.Context, r *Request, left time.Duration) (*Answer, error) {
+func (c *Conn) run(ctx context.Context, r *Request, left time.Duration) (*Response, error) {
 	exchange := exchanges.Add(1)
-	if r.Source != nil || r.Length > longBodyBytes {
+	if r.BodySource != nil || r.Length > longBodyBytes {
 		return c.runLong(ctx, r, exchange, left)
 	}
 	end := c.send(ctx, r, exchange, left)
@@ -118,7 +118,7 @@
 	defer headBuffers.Put(head)
 	head.Reset()
 	writeHead(head, r, exchange, left)
-	if r.Source != nil {
+	if r.BodySource != nil {
 		return c.sendAsItComes(ctx, head.Bytes(), r)
 	}
 	if len(r.Body) == 0 {
--- a/proxy/forward/conn_test.go
+++ b/proxy/forward/conn_test.go
@@ -28,7 +28,7 @@
 			if err != nil || string(a.Body) != "one" {
 				t.Fatalf("%v %v", a, err)
 			}
-			if c.Reusable() || c.Quiet() {
+			if c.Reusable() || c.IsIdle() {
 				t.Fatal("the connection counts as clean")
 			}
 		})
@@ -46,20 +46,20 @@
 		close(sent)
 		p.next()
 	})
-	if _, err := c.Exchange(background, get("/stock")); err != nil || !c.Reusable() || !c.Quiet() {
+	if _, err := c.Exchange(background, get("/stock")); err != nil || !c.Reusable() || !c.IsIdle() {
 		t.Fatalf("error %v", err)
 	}
 	close(more)
 	<-sent
 	waitNotQuiet(c)
-	if c.Quiet() {
+	if c.IsIdle() {
 		t.Fatal("the connection counts as quiet")
 	}
 }
 
 // waitNotQuiet gives the bytes time to cross the loopback device.
 func waitNotQuiet(c *Conn) {
-	for i := 0; i < 1_000_000 && c.Quiet(); i++ {
+	for i := 0; i < 1_000_000 && c.IsIdle(); i++ {
 	}
 }
 
@@ -295,7 +295,7 @@
 func (m *fullMemory) Take(int64) bool { return false }
 func (m *fullMemory) Give(n int64)    { m.balance += n }
 
-func exchangeWithoutMemory(t *testing.T, answer string) (*Answer, error) {
+func exchangeWithoutMemory(t *testing.T, answer string) (*Response, error) {
 	t.Helper()
 	c := connect(t, answers(answer))
 	r := get("/stock")
@@ -317,7 +317,7 @@
 	}
 	for _, rest := range []string{"Content-Length: 2\r\n\r\nok", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"} {
 		a, err := exchangeWithoutMemory(t, "HTTP/1.1 200 OK\r\n"+rest)
-		if err != nil || string(a.Body) != "ok" || a.Reserved != 0 {
+		if err != nil || string(a.Body) != "ok" || a.ReservedBytes != 0 {
 			t.Fatalf("%v %v", a, err)
 		}
 	}
@@ -347,7 +347,7 @@
 	})
 	r := post("")
 	r.Deadline = time.Now().Add(time.Hour)
-	r.Source, r.Length = stalled{half: make([]byte, longBodyBytes)}, 2*longBodyBytes
+	r.BodySource, r.Length = stalled{half: make([]byte, longBodyBytes)}, 2*longBodyBytes
 	_, err := c.Exchange(background, r)
 	wantError(t, err, result.DeadlineAfterSend)
 	if c.Reusable() {
--- a/proxy/forward/fuzz_test.go
+++ b/proxy/forward/fuzz_test.go
@@ -30,12 +30,12 @@
 
 // exchangeWith returns what an exchange makes of a target's bytes, and how many
 // of them it used.
-func exchangeWith(method string, text []byte) (a *Answer, used int, err error) {
+func exchangeWith(method string, text []byte) (a *Response, used int, err error) {
 	conn := &replay{text: bytes.NewReader(text)}
 	c := NewConn(conn)
 	r := get("/stock")
 	r.Method = method
-	r.MaxAnswerBytes = 1 << 10
+	r.MaxResponseBytes = 1 << 10
 	a, err = c.Exchange(background, r)
 	return a, conn.read - c.reader.Buffered(), err
 }
--- a/proxy/forward/idle_unix.go
+++ b/proxy/forward/idle_unix.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// Quiet reports whether an idle connection is still open and silent. A target
+// IsIdle reports whether an idle connection is still open and silent. A target
 // that closed it, or that sent a second answer nobody asked for, shows here,
 // before a request is lost on it or the stray answer is taken for its own.
-func (c *Conn) Quiet() bool {
+func (c *Conn) IsIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
--- a/proxy/forward/long.go
+++ b/proxy/forward/long.go
@@ -17,7 +17,7 @@
 // runLong sends a long body and reads at the same time: a target that refuses
 // an upload at its head stops reading, and its answer would never be seen by a
 // sender that waits for the end of its own write.
-func (c *Conn) runLong(ctx context.Context, r *Request, exchange uint64, left time.Duration) (*Answer, error) {
+func (c *Conn) runLong(ctx context.Context, r *Request, exchange uint64, left time.Duration) (*Response, error) {
 	sent := make(chan sending, 1)
 	sendCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -39,7 +39,7 @@
 		return answer, err
 	}
 	if answer != nil {
-		answer.Writing = end.took
+		answer.SendDuration = end.took
 	}
 	return answer, err
 }
@@ -70,7 +70,7 @@
 	end.write(c.conn, head)
 	first := end.written
 	for end.err == nil && end.written-first < r.Length {
-		piece, err := r.Source.At(ctx, end.written-first)
+		piece, err := r.BodySource.At(ctx, end.written-first)
 		if err != nil {
 			c.abort()
 			end.err = err
--- a/proxy/forward/receive.go
+++ b/proxy/forward/receive.go
@@ -14,9 +14,9 @@
 const (
 	// maxInterim bounds the informational answers before the final one.
 	maxInterim = 8
-	// FreeAnswerBytes of an answer need no reservation: a node whose memory is
+	// UnreservedResponseBytes of an answer need no reservation: a node whose memory is
 	// full of uploads must still be able to read that an order ran.
-	FreeAnswerBytes = 16 << 10
+	UnreservedResponseBytes = 16 << 10
 	// stepBytes is how much memory an answer of unknown length reserves at once.
 	stepBytes = 64 << 10
 )
@@ -32,7 +32,7 @@
 
 // receive reads the answer. By now the request may have run, so whatever goes
 // wrong the outcome is unknown.
-func (c *Conn) receive(ctx context.Context, r *Request, exchange uint64) (*Answer, error) {
+func (c *Conn) receive(ctx context.Context, r *Request, exchange uint64) (*Response, error) {
 	resp, err := c.readOwnHead(r)
 	if err != nil {
 		return nil, newError(headCode(ctx, err), err)
@@ -47,14 +47,14 @@
 		return nil, newError(bodyCode(ctx, err), err)
 	}
 	c.clean = !resp.Close && c.reader.Buffered() == 0
-	return &Answer{
+	return &Response{
 		Status:   resp.StatusCode,
 		Header:   resp.Header,
 		Body:     body,
-		Reserved: reserved,
+		ReservedBytes: reserved,
 		NoBody:   !hasBody(resp, r),
 		Shed:     resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(result.HeaderShed) != "",
-		Leaving:  resp.Header.Get(result.HeaderLeaving) != "",
+		Draining:  resp.Header.Get(result.HeaderLeaving) != "",
 	}, nil
 }
 
@@ -140,7 +140,7 @@
 	if !hasBody(resp, r) {
 		return nil, 0, nil
 	}
-	if resp.ContentLength > r.MaxAnswerBytes {
+	if resp.ContentLength > r.MaxResponseBytes {
 		return nil, 0, errOverLimit
 	}
 	if resp.ContentLength >= 0 {
@@ -165,9 +165,9 @@
 func readChunked(resp *http.Response, r *Request) ([]byte, int64, error) {
 	var body bytes.Buffer
 	reserved := int64(0)
-	for step := int64(FreeAnswerBytes); ; step = stepBytes {
+	for step := int64(UnreservedResponseBytes); ; step = stepBytes {
 		_, err := io.CopyN(&body, resp.Body, step)
-		if int64(body.Len()) > r.MaxAnswerBytes {
+		if int64(body.Len()) > r.MaxResponseBytes {
 			err = errOverLimit
 		}
 		if errors.Is(err, io.EOF) {
@@ -185,7 +185,7 @@
 }
 
 // overFree returns how much of an answer has to be reserved.
-func overFree(length int64) int64 { return max(0, length-FreeAnswerBytes) }
+func overFree(length int64) int64 { return max(0, length-UnreservedResponseBytes) }
 
 func take(r *Request, n int64) bool { return n == 0 || r.Memory == nil || r.Memory.Take(n) }
 
--- a/proxy/forward/request.go
+++ b/proxy/forward/request.go
@@ -18,12 +18,12 @@
 	// Body holds the body in pieces, Length is their sum in bytes.
 	Body   [][]byte
 	Length int64
-	// Source gives the body instead of Body if it may still be coming.
-	Source Source
+	// BodySource gives the body instead of Body if it may still be coming.
+	BodySource BodySource
 	// Deadline is when the caller gives up.
 	Deadline time.Time
-	// MaxAnswerBytes bounds the body of the answer.
-	MaxAnswerBytes int64
+	// MaxResponseBytes bounds the body of the answer.
+	MaxResponseBytes int64
 	// Memory bounds the bytes of answers in sum; nil does not bound them.
 	Memory Memory
 	// Dialect replaces the fields that this package writes and reads itself; nil
@@ -45,8 +45,8 @@
 	CloseDelimited bool
 }
 
-// Source is a body that may still be coming.
-type Source interface {
+// BodySource is a body that may still be coming.
+type BodySource interface {
 	// At returns bytes of the body from an offset on, which are only to be
 	// read, and waits for the first of them. It returns an error if they do not
 	// come, at once if the context has ended.
--- a/proxy/forward/answer.go
+++ b/proxy/forward/response.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Answer is a target's whole answer.
-type Answer struct {
+// Response is a target's whole answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Reserved is what the body took of Request.Memory, to be given back.
-	Reserved int64
-	// Writing is the time that writing the request took, the time in which its
+	// ReservedBytes is what the body took of Request.Memory, to be given back.
+	ReservedBytes int64
+	// SendDuration is the time that writing the request took, the time in which its
 	// body had still to come excepted; 0 for a short or unfinished one.
-	Writing time.Duration
+	SendDuration time.Duration
 	// NoBody tells that an answer of this kind has none (HEAD, 204, 304).
 	NoBody bool
 	// Shed tells that the target refused the request before running it.
 	Shed bool
-	// Leaving tells that the target takes no new work.
-	Leaving bool
+	// Draining tells that the target takes no new work.
+	Draining bool
 }
 
-// LengthField returns the Content-Length to pass on, nil for none; it is only
+// ContentLengthHeader returns the Content-Length to pass on, nil for none; it is only
 // to be read. It is the length of the body, whatever the target wrote. An
 // answer to HEAD tells the length that GET would have.
-func (a *Answer) LengthField() []string {
+func (a *Response) ContentLengthHeader() []string {
 	told := a.Header["Content-Length"]
 	if a.NoBody {
 		return parsedLength(told)
--- a/proxy/forward/script_test.go
+++ b/proxy/forward/script_test.go
@@ -87,7 +87,7 @@
 func get(path string) *Request {
 	return &Request{
 		Method: http.MethodGet, URI: path, Host: "target", Header: http.Header{},
-		Deadline: time.Now().Add(5 * time.Second), MaxAnswerBytes: 1 << 20,
+		Deadline: time.Now().Add(5 * time.Second), MaxResponseBytes: 1 << 20,
 	}
 }
 
--- a/proxy/ingress/body.go
+++ b/proxy/ingress/body.go
@@ -22,11 +22,11 @@
 
 // Errors of Body.At.
 var (
-	// ErrStalled tells that the rest of a body did not come in time.
-	ErrStalled = errors.New("ingress: the body's rest did not come in time")
-	// ErrEnded tells that the body ended before it was whole: its caller has
+	// ErrBodyStalled tells that the rest of a body did not come in time.
+	ErrBodyStalled = errors.New("ingress: the body's rest did not come in time")
+	// ErrBodyAborted tells that the body ended before it was whole: its caller has
 	// gone, or the request was answered.
-	ErrEnded = errors.New("ingress: the body ended before it was whole")
+	ErrBodyAborted = errors.New("ingress: the body ended before it was whole")
 )
 
 // Body is a collected request body. Its request may be handed over before it is
@@ -135,15 +135,15 @@
 	}
 }
 
-// Pieces returns the whole body, or false if it is not whole yet.
-func (b *Body) Pieces() ([][]byte, bool) {
+// Buffers returns the whole body, or false if it is not whole yet.
+func (b *Body) Buffers() ([][]byte, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.pieces, b.arrived == b.length
 }
 
-// WholeAt returns when the last byte came, or false if the body is not whole.
-func (b *Body) WholeAt() (time.Time, bool) {
+// CompletedAt returns when the last byte came, or false if the body is not whole.
+func (b *Body) CompletedAt() (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.wholeAt, b.arrived == b.length
@@ -170,7 +170,7 @@
 	defer b.mu.Unlock()
 	switch {
 	case b.ended:
-		return nil, nil, ErrEnded
+		return nil, nil, ErrBodyAborted
 	case offset >= b.length:
 		return nil, nil, io.EOF
 	case offset < b.arrived:
@@ -191,7 +191,7 @@
 	case <-more:
 		return nil
 	case <-stall.C:
-		return ErrStalled
+		return ErrBodyStalled
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/proxy/ingress/body_test.go
+++ b/proxy/ingress/body_test.go
@@ -19,7 +19,7 @@
 type early struct{}
 
 func (early) ReserveBody(http.Header, int64) (Reservation, result.Code) {
-	return Reservation{Ahead: time.Hour}, result.OK
+	return Reservation{LeadTime: time.Hour}, result.OK
 }
 
 // Requests with large bodies, of all lengths around the bound, come one behind
@@ -27,7 +27,7 @@
 // the next head. The bodies hold what looks like the end of a head. Each caller
 // must get its own bytes back, in order.
 func TestBodiesAreWholeHoweverTheyCome(t *testing.T) {
-	s := startServer(t, Options{Handler: http.HandlerFunc(echo), Bodies: early{}})
+	s := startServer(t, Options{Handler: http.HandlerFunc(echo), BodyAdmitter: early{}})
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 10 {
 		conn, reader := dialServer(t, s)
@@ -61,7 +61,7 @@
 		b.add(make([]byte, pieceBytes))
 		b.limit(time.Now().Add(stallTime))
 		began := time.Now()
-		if _, err := b.At(context.Background(), pieceBytes); err != ErrStalled || time.Since(began) != stallTime {
+		if _, err := b.At(context.Background(), pieceBytes); err != ErrBodyStalled || time.Since(began) != stallTime {
 			t.Errorf("%v after %s", err, time.Since(began))
 		}
 	})
--- a/proxy/ingress/close_test.go
+++ b/proxy/ingress/close_test.go
@@ -20,7 +20,7 @@
 	const idlers, callers, connections = 64, 16, 400
 	const headTime = 2 * time.Millisecond
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "whole") })
-	s, err := Start(Options{Address: "127.0.0.1:0", Handler: handler, MaxBodyBytes: 1024, HeadTime: headTime})
+	s, err := Start(Options{Address: "127.0.0.1:0", Handler: handler, MaxBodyBytes: 1024, HeaderTimeout: headTime})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/proxy/ingress/connection.go
+++ b/proxy/ingress/connection.go
@@ -237,7 +237,7 @@
 	}
 	idle := c.idle
 	c.mu.Unlock()
-	_ = c.SetWriteDeadline(time.Now().Add(c.server.options.AnswerTime))
+	_ = c.SetWriteDeadline(time.Now().Add(c.server.options.WriteTimeout))
 	<-idle
 	_ = c.SetWriteDeadline(time.Time{})
 }
--- a/proxy/ingress/fuzz_test.go
+++ b/proxy/ingress/fuzz_test.go
@@ -32,7 +32,7 @@
 	const memory = 1 << 20
 	bodies := &bounded{limit: 1000}
 	bodies.free.Store(memory)
-	s, err := Start(Options{Address: "127.0.0.1:0", Handler: http.HandlerFunc(echo), Bodies: bodies})
+	s, err := Start(Options{Address: "127.0.0.1:0", Handler: http.HandlerFunc(echo), BodyAdmitter: bodies})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/proxy/ingress/processor.go
+++ b/proxy/ingress/processor.go
@@ -49,7 +49,7 @@
 
 // headTooLong reports whether a head that is not whole yet is over its bound.
 func (p *processor) headTooLong() bool {
-	return !p.inBody && p.size > p.conn.server.options.MaxHeadBytes
+	return !p.inBody && p.size > p.conn.server.options.MaxHeaderBytes
 }
 
 // underWay reports whether a request has begun and is not handed over.
@@ -58,12 +58,12 @@
 // timeLeft bounds what the request under way still needs.
 func (p *processor) timeLeft() time.Duration {
 	if !p.inBody {
-		return p.conn.server.options.HeadTime
+		return p.conn.server.options.HeaderTimeout
 	}
-	if t := p.reserved.reservation.Time; t > 0 {
+	if t := p.reserved.reservation.Timeout; t > 0 {
 		return t
 	}
-	return p.conn.server.options.BodyTime
+	return p.conn.server.options.BodyTimeout
 }
 
 // OnMethod implements nbhttp.Processor: a new request begins.
@@ -157,12 +157,12 @@
 		p.refused = true
 		return nil
 	}
-	if !p.handedOver && b.due(p.reserved.reservation.Ahead) {
-		b.limit(time.Now().Add(p.reserved.reservation.Ahead + stallTime))
+	if !p.handedOver && b.due(p.reserved.reservation.LeadTime) {
+		b.limit(time.Now().Add(p.reserved.reservation.LeadTime + stallTime))
 		p.handOver()
 		p.handedOver = true
 	}
-	if _, whole := b.WholeAt(); !whole {
+	if _, whole := b.CompletedAt(); !whole {
 		return nil
 	}
 	// The parser still awaits the body; a new one awaits the next request.
@@ -176,7 +176,7 @@
 
 // reserve asks for the memory; a length below 0 is not known.
 func (p *processor) reserve(length int64) {
-	bodies := p.conn.server.options.Bodies
+	bodies := p.conn.server.options.BodyAdmitter
 	if bodies == nil {
 		p.invite()
 		return
@@ -213,7 +213,7 @@
 }
 
 func (p *processor) bodyLimit() int64 {
-	if limit := p.reserved.reservation.Limit; limit > 0 {
+	if limit := p.reserved.reservation.MaxBytes; limit > 0 {
 		return limit
 	}
 	return int64(p.conn.server.options.MaxBodyBytes)
@@ -222,7 +222,7 @@
 // bodyTooLong reports whether a body of unknown length is over its bound. The
 // parser holds a chunk until it is whole, so that its bytes are bounded here.
 func (p *processor) bodyTooLong() bool {
-	head := int64(p.conn.server.options.MaxHeadBytes)
+	head := int64(p.conn.server.options.MaxHeaderBytes)
 	return p.inBody && p.chunked && int64(p.size) > head+framing*p.bodyLimit()
 }
 
--- a/proxy/ingress/server.go
+++ b/proxy/ingress/server.go
@@ -51,8 +51,8 @@
 		Name:            "callers",
 		Handler:         http.HandlerFunc(s.serve),
 		MaxHTTPBodySize: o.MaxBodyBytes,
-		ReadLimit:       o.MaxBodyBytes + o.MaxHeadBytes,
-		KeepaliveTime:   o.IdleTime,
+		ReadLimit:       o.MaxBodyBytes + o.MaxHeaderBytes,
+		KeepaliveTime:   o.IdleTimeout,
 		OnRequest:       httpserver.LeaveClosing,
 		// Without it the library keeps a queue of 0.5 MB for clients.
 		SupportServerOnly: true,
@@ -77,8 +77,8 @@
 // Address returns the ip:port in use.
 func (s *Server) Address() string { return s.address.String() }
 
-// Busy returns the requests in hand whose answers are not wholly given.
-func (s *Server) Busy() int { return int(s.busy.Load()) }
+// ActiveRequests returns the requests in hand whose answers are not wholly given.
+func (s *Server) ActiveRequests() int { return int(s.busy.Load()) }
 
 // Stop takes no new connections, waits until every answer in hand is given or
 // the context ends, and closes all connections. Without an error the memory of
@@ -121,7 +121,7 @@
 	if _, err := s.engine.AddConn(nbc); err != nil {
 		return
 	}
-	_ = nbc.SetReadDeadline(time.Now().Add(s.options.IdleTime))
+	_ = nbc.SetReadDeadline(time.Now().Add(s.options.IdleTimeout))
 }
 
 // closed is called by the engine for every connection that has ended. The
@@ -172,7 +172,7 @@
 	}
 	s.busy.Add(1)
 	defer s.busy.Add(-1)
-	writer := &Writer{Response: response, conn: conn, began: taken.began, body: taken.body}
+	writer := &ResponseWriter{Response: response, conn: conn, began: taken.began, body: taken.body}
 	s.options.Handler.ServeHTTP(writer, r)
 	writer.endBody()
 }
--- a/proxy/ingress/server_test.go
+++ b/proxy/ingress/server_test.go
@@ -40,7 +40,7 @@
 		b.free.Add(length)
 		return Reservation{}, result.BufferFull
 	}
-	return Reservation{Limit: b.limit, Ahead: time.Hour, Release: func() { b.free.Add(length) }}, result.OK
+	return Reservation{MaxBytes: b.limit, LeadTime: time.Hour, Release: func() { b.free.Add(length) }}, result.OK
 }
 
 func startServer(t *testing.T, o Options) *Server {
@@ -116,7 +116,7 @@
 			handler := func(http.ResponseWriter, *http.Request) { t.Error("the handler ran") }
 			bodies := &bounded{limit: 1000}
 			bodies.free.Store(800)
-			s := startServer(t, Options{Handler: http.HandlerFunc(handler), Bodies: bodies})
+			s := startServer(t, Options{Handler: http.HandlerFunc(handler), BodyAdmitter: bodies})
 			conn, r := dialServer(t, s)
 			_, _ = io.WriteString(conn, c.text)
 			resp, _ := readAnswer(t, r)
@@ -160,7 +160,7 @@
 func TestHandlerLearnsThatItsCallerHasGone(t *testing.T) {
 	entered, gone := make(chan struct{}), make(chan struct{})
 	handler := func(w http.ResponseWriter, r *http.Request) {
-		stop := w.(*Writer).WatchClose(r, func() { close(gone) })
+		stop := w.(*ResponseWriter).WatchClose(r, func() { close(gone) })
 		defer stop()
 		close(entered)
 		<-gone
@@ -186,7 +186,7 @@
 		w.Header().Set("Content-Length", fmt.Sprint(len(large)))
 		_, _ = w.Write(large)
 		w.(http.Flusher).Flush()
-		flushed <- takenWhole(w.(*Writer).conn)
+		flushed <- takenWhole(w.(*ResponseWriter).conn)
 	})
 	s = startServer(t, o)
 	conn, r := dialServer(t, s)
@@ -214,8 +214,8 @@
 		t.Fatal("the answer counts as given though nobody read it")
 	default:
 	}
-	if s.Busy() != 1 {
-		t.Fatalf("%d requests in hand", s.Busy())
+	if s.ActiveRequests() != 1 {
+		t.Fatalf("%d requests in hand", s.ActiveRequests())
 	}
 	n, err := io.Copy(io.Discard, resp.Body)
 	if err != nil || n != largeBytes {
@@ -229,7 +229,7 @@
 // A caller that never reads its answer is closed after AnswerTime; without the
 // bound its answer would stay in memory for ever.
 func TestCallerThatNeverReadsIsClosed(t *testing.T) {
-	_, _, flushed := askForLarge(t, Options{AnswerTime: 50 * time.Millisecond})
+	_, _, flushed := askForLarge(t, Options{WriteTimeout: 50 * time.Millisecond})
 	<-flushed
 }
 
@@ -240,7 +240,7 @@
 	// Enough for all at once: a broken upload is freed when the server sees it.
 	const memory = 64 << 20
 	bodies.free.Store(memory)
-	s := startServer(t, Options{Handler: http.HandlerFunc(echo), Bodies: bodies})
+	s := startServer(t, Options{Handler: http.HandlerFunc(echo), BodyAdmitter: bodies})
 	for i := range 40 {
 		conn, r := dialServer(t, s)
 		switch i % 5 {
--- a/proxy/kept/answer.go
+++ b/proxy/kept/answer.go
@@ -9,7 +9,7 @@
 
 // Answer is a target's whole answer and who gave it. It is only to be read.
 type Answer struct {
-	forward.Answer
+	forward.Response
 	// Place and Target are the fields that name them to the caller.
 	Place, Target []string
 }
@@ -24,7 +24,7 @@
 // holds none of the request's reserved bytes.
 func copied(a *Answer) *Answer {
 	return &Answer{
-		Answer: forward.Answer{
+		Response: forward.Response{
 			Status: a.Status,
 			Header: a.Header.Clone(),
 			Body:   bytes.Clone(a.Body),
--- a/proxy/kept/store_test.go
+++ b/proxy/kept/store_test.go
@@ -17,7 +17,7 @@
 		s := New(Options{Bytes: 1 << 20})
 		key := keys.Key{Account: "daehan", Service: "dealer-desk", Text: "o-1"}
 		entry, _ := s.Begin(key, Print{})
-		s.End(entry, &Answer{Answer: forward.Answer{Status: http.StatusOK, Body: []byte("ok")}})
+		s.End(entry, &Answer{Response: forward.Response{Status: http.StatusOK, Body: []byte("ok")}})
 		time.Sleep(DefaultKeep - time.Second)
 		again, first := s.Begin(key, Print{})
 		if answer, _, err := again.Wait(t.Context()); first || answer == nil || err != nil {
--- a/proxy/pool/pool.go
+++ b/proxy/pool/pool.go
@@ -78,7 +78,7 @@
 		if conn == nil {
 			return p.connect(ctx)
 		}
-		if conn.Quiet() {
+		if conn.IsIdle() {
 			return conn, nil
 		}
 		p.drop(conn)
--- a/proxy/pool/pool_test.go
+++ b/proxy/pool/pool_test.go
@@ -99,7 +99,7 @@
 
 func exchange(c *forward.Conn, deadline time.Time) error {
 	_, err := c.Exchange(context.Background(), &forward.Request{
-		Method: http.MethodGet, URI: "/", Host: "target", Deadline: deadline, MaxAnswerBytes: 10,
+		Method: http.MethodGet, URI: "/", Host: "target", Deadline: deadline, MaxResponseBytes: 10,
 	})
 	return err
 }
--- a/proxy/repeat.go
+++ b/proxy/repeat.go
@@ -70,7 +70,7 @@
 // repeated is the end of a request that gets the answer to an earlier sending.
 func (p *Proxy) repeated(q *request, answer *kept.Answer) ending {
 	q.service.state.metrics[q.class].keptAnswers.Inc(1)
-	return ending{answer: &answer.Answer, place: answer.Place, target: answer.Target}
+	return ending{answer: &answer.Response, place: answer.Place, target: answer.Target}
 }
 
 // keep ends the entry of a request. One that did not get the right to run is
@@ -79,7 +79,7 @@
 func (p *Proxy) keep(entry *kept.Entry, q *request, end ending) {
 	switch {
 	case end.answer != nil:
-		p.kept.End(entry, &kept.Answer{Answer: *end.answer, Place: end.place, Target: end.target})
+		p.kept.End(entry, &kept.Answer{Response: *end.answer, Place: end.place, Target: end.target})
 	case !q.claimed || isNotRun(end.refusal.code):
 		p.kept.Drop(entry)
 	default:
--- a/proxy/reserve.go
+++ b/proxy/reserve.go
@@ -12,7 +12,7 @@
 // request is refused, or is for another handler of the node.
 const otherBodyBytes = 64 << 10
 
-var _ ingress.Bodies = (*Proxy)(nil)
+var _ ingress.BodyAdmitter = (*Proxy)(nil)
 
 // ReserveBody implements ingress.Bodies: it refuses a body over the service's
 // limit, or over what the account may hold in memory, before its bytes come.
@@ -24,7 +24,7 @@
 		if length > otherBodyBytes {
 			return ingress.Reservation{}, result.RequestTooLarge
 		}
-		return ingress.Reservation{Limit: otherBodyBytes}, result.OK
+		return ingress.Reservation{MaxBytes: otherBodyBytes}, result.OK
 	}
 	limit := requestLimit(service.service)
 	if length < 0 {
@@ -41,10 +41,10 @@
 		return ingress.Reservation{}, result.BufferFull
 	}
 	release := func() { account.bytes.Give(length) }
-	reservation := ingress.Reservation{Time: time, Limit: limit, Release: release}
+	reservation := ingress.Reservation{Timeout: time, MaxBytes: limit, Release: release}
 	// A repeat is told from other work under its key by the whole body.
 	if length > p.options.StreamOverBytes && h.Get(result.HeaderKey) == "" {
-		reservation.Ahead = min(service.state.sending.of(length), p.options.StreamAhead)
+		reservation.LeadTime = min(service.state.sending.of(length), p.options.StreamAhead)
 	}
 	return reservation, result.OK
 }
--- a/proxy/serve.go
+++ b/proxy/serve.go
@@ -81,9 +81,9 @@
 	q.out.URI = r.URL.RequestURI()
 	q.out.Header = r.Header
 	q.out.Deadline = q.deadline
-	q.out.MaxAnswerBytes = q.service.service.MaxAnswerBytes
-	if q.out.MaxAnswerBytes <= 0 {
-		q.out.MaxAnswerBytes = defaultAnswerBytes
+	q.out.MaxResponseBytes = q.service.service.MaxAnswerBytes
+	if q.out.MaxResponseBytes <= 0 {
+		q.out.MaxResponseBytes = defaultAnswerBytes
 	}
 	q.out.Memory = q.account.bytes
 }
--- a/proxy/upload_test.go
+++ b/proxy/upload_test.go
@@ -149,8 +149,8 @@
 func TestUploadsUnderOneKeyAreCompared(t *testing.T) {
 	p, s, targets := serveUploads(t, sayChecksum)
 	fields := http.Header{result.HeaderAccount: {testAccount}, result.HeaderService: {testService}, result.HeaderKey: {"o-1"}}
-	if reservation, code := p.ReserveBody(fields, 2*halfBytes); code != result.OK || reservation.Ahead != 0 {
-		t.Errorf("%d, sent on %s early", code, reservation.Ahead)
+	if reservation, code := p.ReserveBody(fields, 2*halfBytes); code != result.OK || reservation.LeadTime != 0 {
+		t.Errorf("%d, sent on %s early", code, reservation.LeadTime)
 	} else {
 		reservation.Release()
 	}
--- a/proxy/write.go
+++ b/proxy/write.go
@@ -42,7 +42,7 @@
 	h[result.HeaderOutcome] = okOutcome
 	h[result.HeaderPlace] = end.place
 	h[result.HeaderTarget] = end.target
-	if length := end.answer.LengthField(); length != nil {
+	if length := end.answer.ContentLengthHeader(); length != nil {
 		h["Content-Length"] = length
 	}
 	w.WriteHeader(sendableStatus(h, end.answer.Status))
