--- a/node/http.go
+++ b/node/http.go
@@ -33,7 +33,7 @@
 	server, err := ingress.Start(ingress.Options{
 		Address:        n.options.Settings.Listen.Callers.String(),
 		Handler:        n.whenReady(http.HandlerFunc(n.serveCaller)),
-		BodyAdmitter:         n.proxy,
+		BodyAdmitter:   n.proxy,
 		MaxBodyBytes:   maxCallerBody(limits.BufferedBytes),
 		MaxConnections: limits.CallerConnections,
 	})
--- a/node/kept.go
+++ b/node/kept.go
@@ -87,7 +87,7 @@
 	}
 	return &kept.Answer{
 		Response: forward.Response{Status: int(r.Status), Header: header, Body: r.Body, NoBody: r.NoBody},
-		Place:  r.Place,
-		Target: r.Target,
+		Place:    r.Place,
+		Target:   r.Target,
 	}
 }
--- a/proxy/forward/codes.go
+++ b/proxy/forward/codes.go
@@ -7,16 +7,16 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// notSentCode names a failure before the first byte was taken.
-func notSentCode(ctx context.Context, err error) result.Code {
+// codeBeforeSend classifies a failure before any byte was written.
+func codeBeforeSend(ctx context.Context, err error) result.Code {
 	if isTimeout(err) || ctx.Err() != nil {
 		return result.DeadlineBeforeSend
 	}
 	return result.ConnectFailed
 }
 
-// sentCode names a failure after at least one byte was taken.
-func sentCode(ctx context.Context, err error) result.Code {
+// codeAfterSend classifies a failure after at least one byte was written.
+func codeAfterSend(ctx context.Context, err error) result.Code {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return result.CallerGone
 	}
@@ -26,18 +26,18 @@
 	return result.ConnectionLost
 }
 
-func headCode(ctx context.Context, err error) result.Code {
-	if errors.Is(err, errOverLimit) {
+func headerReadCode(ctx context.Context, err error) result.Code {
+	if errors.Is(err, errResponseTooLarge) {
 		return result.AnswerTooLarge
 	}
-	return sentCode(ctx, err)
+	return codeAfterSend(ctx, err)
 }
 
-func bodyCode(ctx context.Context, err error) result.Code {
-	if errors.Is(err, errOverLimit) || errors.Is(err, errMemory) {
+func bodyReadCode(ctx context.Context, err error) result.Code {
+	if errors.Is(err, errResponseTooLarge) || errors.Is(err, errNoMemory) {
 		return result.AnswerTooLarge
 	}
-	code := sentCode(ctx, err)
+	code := codeAfterSend(ctx, err)
 	if code == result.ConnectionLost {
 		return result.AnswerTruncated
 	}
--- a/proxy/forward/conn.go
+++ b/proxy/forward/conn.go
@@ -15,120 +15,119 @@
 const (
 	readBufferBytes = 8 << 10
 	maxHeaderBytes  = 64 << 10
-	// longBodyBytes is what the system's buffers surely take at once.
-	longBodyBytes = 32 << 10
+	// maxBufferedBodyBytes is a size that socket buffers accept without blocking.
+	maxBufferedBodyBytes = 32 << 10
 )
 
-// exchanges numbers the exchanges of the process.
-var exchanges atomic.Uint64
+// exchangeCounter generates exchange IDs, unique within the process.
+var exchangeCounter atomic.Uint64
 
-// longAgo is a deadline that has passed; it ends reads and writes under way.
-var longAgo = time.Unix(1, 0)
+// pastDeadline unblocks pending reads and writes.
+var pastDeadline = time.Unix(1, 0)
 
-// Conn is one connection to a target. One goroutine at a time may use it.
+// Conn is a connection to a target. It is not safe for concurrent use.
 type Conn struct {
-	conn   net.Conn
-	meter  *meter
-	reader *bufio.Reader
-	clean  bool
-	// asked tells the parser of an answer what was asked.
-	asked http.Request
-	// probe looks at the idle connection; nil if its kind cannot be looked at.
-	probe *probe
-	// abort ends the reads and writes under way.
+	conn     net.Conn
+	limited  *limitedReader
+	reader   *bufio.Reader
+	reusable bool
+	// pendingRequest gives the response parser the request method.
+	pendingRequest http.Request
+	// probe is nil if the connection has no file descriptor to inspect.
+	probe *idleProbe
+	// abort unblocks pending reads and writes.
 	abort func()
 }
 
-// NewConn takes over an open connection.
+// NewConn returns a Conn that takes ownership of an open connection.
 func NewConn(c net.Conn) *Conn {
-	m := &meter{conn: c}
+	limited := &limitedReader{conn: c}
 	return &Conn{
-		conn:   c,
-		meter:  m,
-		reader: bufio.NewReaderSize(m, readBufferBytes),
-		clean:  true,
-		probe:  newProbe(c),
-		abort:  func() { _ = c.SetDeadline(longAgo) },
+		conn:     c,
+		limited:  limited,
+		reader:   bufio.NewReaderSize(limited, readBufferBytes),
+		reusable: true,
+		probe:    newIdleProbe(c),
+		abort:    func() { _ = c.SetDeadline(pastDeadline) },
 	}
 }
 
 // Close closes the connection.
 func (c *Conn) Close() { _ = c.conn.Close() }
 
-// Reusable reports whether the last exchange ended cleanly: the answer was
-// whole, nothing came after it and neither side asked to close.
-func (c *Conn) Reusable() bool { return c.clean }
+// Reusable reports whether another exchange may use the connection: the last
+// response was complete, no data followed it and neither side asked to close.
+func (c *Conn) Reusable() bool { return c.reusable }
 
-// Exchange sends one request and returns the target's whole answer. Every
-// error is an *Error. The connection is usable again only if Reusable says so.
+// Exchange sends one request and returns the complete response. Every error is
+// an *Error. The caller must check Reusable before the next exchange.
 func (c *Conn) Exchange(ctx context.Context, r *Request) (*Response, error) {
-	if !c.clean {
-		return nil, newError(result.ConnectFailed, errUsed)
+	if !c.reusable {
+		return nil, newError(result.ConnectFailed, errNotReusable)
 	}
-	left := time.Until(r.Deadline)
-	if left <= 0 || ctx.Err() != nil {
+	timeout := time.Until(r.Deadline)
+	if timeout <= 0 || ctx.Err() != nil {
 		return nil, newError(result.DeadlineBeforeSend, ctx.Err())
 	}
-	c.clean = false
-	c.meter.left = maxHeaderBytes + r.MaxResponseBytes
+	c.reusable = false
+	c.limited.remaining = maxHeaderBytes + r.MaxResponseBytes
 	if err := c.conn.SetDeadline(r.Deadline); err != nil {
 		return nil, newError(result.ConnectFailed, err)
 	}
-	// A cancelled request ends its reads and writes at once: the target sees
-	// the connection close and the slot is free for others.
+	// Cancellation unblocks I/O at once, so that the connection is closed and the
+	// target's slot freed without waiting for the deadline.
 	stop := context.AfterFunc(ctx, c.abort)
-	answer, err := c.run(ctx, r, left)
-	if !stop() || !c.clean {
-		// Either the deadline was spoilt by the cancellation or the exchange
-		// did not end cleanly.
-		c.clean = false
-		return answer, err
+	resp, err := c.exchange(ctx, r, timeout)
+	if !stop() || !c.reusable {
+		// Cancellation may have overwritten the deadline.
+		c.reusable = false
+		return resp, err
 	}
-	// A deadline left behind would make an idle connection look closed.
-	c.clean = c.conn.SetDeadline(time.Time{}) == nil
-	return answer, err
+	// An expired deadline would make the idle connection look closed.
+	c.reusable = c.conn.SetDeadline(time.Time{}) == nil
+	return resp, err
 }
 
-func (c *Conn) run(ctx context.Context, r *Request, left time.Duration) (*Response, error) {
-	exchange := exchanges.Add(1)
-	if r.BodySource != nil || r.Length > longBodyBytes {
-		return c.runLong(ctx, r, exchange, left)
+func (c *Conn) exchange(ctx context.Context, r *Request, timeout time.Duration) (*Response, error) {
+	exchangeID := exchangeCounter.Add(1)
+	if r.BodySource != nil || r.Length > maxBufferedBodyBytes {
+		return c.exchangeConcurrently(ctx, r, exchangeID, timeout)
 	}
-	end := c.send(ctx, r, exchange, left)
-	werr := end.err
-	if werr != nil && end.written == 0 {
-		// The system took no byte, so none can reach a target.
-		return nil, newError(notSentCode(ctx, werr), werr)
+	sent := c.send(ctx, r, exchangeID, timeout)
+	writeErr := sent.err
+	if writeErr != nil && sent.written == 0 {
+		// Nothing was written, so the target cannot have received the request.
+		return nil, newError(codeBeforeSend(ctx, writeErr), writeErr)
 	}
-	if werr != nil && isTimeout(werr) {
-		return nil, newError(sentCode(ctx, werr), werr)
+	if writeErr != nil && isTimeout(writeErr) {
+		return nil, newError(codeAfterSend(ctx, writeErr), writeErr)
 	}
-	// After a write that broke half-way the target may still have answered,
-	// for example that it refuses the body.
-	answer, err := c.receive(ctx, r, exchange)
-	if werr != nil {
-		c.clean = false
+	// The target may have responded before the write failed, for example to
+	// reject the body.
+	resp, err := c.receive(ctx, r, exchangeID)
+	if writeErr != nil {
+		c.reusable = false
 	}
-	return answer, err
+	return resp, err
 }
 
-// send writes the request and returns how that ended.
-func (c *Conn) send(ctx context.Context, r *Request, exchange uint64, left time.Duration) sending {
-	head := headBuffers.Get().(*bytes.Buffer)
-	defer headBuffers.Put(head)
-	head.Reset()
-	writeHead(head, r, exchange, left)
+// send writes the request line, header and body.
+func (c *Conn) send(ctx context.Context, r *Request, exchangeID uint64, timeout time.Duration) sendResult {
+	header := headerBuffers.Get().(*bytes.Buffer)
+	defer headerBuffers.Put(header)
+	header.Reset()
+	writeRequestHeader(header, r, exchangeID, timeout)
 	if r.BodySource != nil {
-		return c.sendAsItComes(ctx, head.Bytes(), r)
+		return c.sendStreamed(ctx, header.Bytes(), r)
 	}
 	if len(r.Body) == 0 {
-		n, err := c.conn.Write(head.Bytes())
-		return sending{written: int64(n), err: err}
+		n, err := c.conn.Write(header.Bytes())
+		return sendResult{written: int64(n), err: err}
 	}
-	pieces := make(net.Buffers, 0, 1+len(r.Body))
-	pieces = append(pieces, head.Bytes())
-	pieces = append(pieces, r.Body...)
-	began := time.Now()
-	n, err := pieces.WriteTo(c.conn)
-	return sending{written: n, took: time.Since(began), err: err}
+	buffers := make(net.Buffers, 0, 1+len(r.Body))
+	buffers = append(buffers, header.Bytes())
+	buffers = append(buffers, r.Body...)
+	start := time.Now()
+	n, err := buffers.WriteTo(c.conn)
+	return sendResult{written: n, duration: time.Since(start), err: err}
 }
--- a/proxy/forward/conn_test.go
+++ b/proxy/forward/conn_test.go
@@ -347,7 +347,7 @@
 	})
 	r := post("")
 	r.Deadline = time.Now().Add(time.Hour)
-	r.BodySource, r.Length = stalled{half: make([]byte, longBodyBytes)}, 2*longBodyBytes
+	r.BodySource, r.Length = stalled{half: make([]byte, maxBufferedBodyBytes)}, 2*maxBufferedBodyBytes
 	_, err := c.Exchange(background, r)
 	wantError(t, err, result.DeadlineAfterSend)
 	if c.Reusable() {
--- a/proxy/forward/doc.go
+++ b/proxy/forward/doc.go
@@ -1,7 +1,7 @@
-// Package forward carries one exchange at a time over one connection to a
-// target: it sends a request, reads the whole answer and tells how certain it
-// is that the request ran.
+// Package forward performs HTTP/1.1 exchanges with a target, one at a time per
+// connection: it sends a request, reads the complete response and classifies
+// failures by whether the request may have run.
 //
-// It never opens a connection, never sends a request twice and never uses a
-// connection again whose last exchange did not end cleanly.
+// It never opens connections, never retries a request and never reuses a
+// connection whose last exchange did not end cleanly.
 package forward
--- a/proxy/forward/error.go
+++ b/proxy/forward/error.go
@@ -2,8 +2,8 @@
 
 import "github.com/yuccaroute/yuccaroute/api/result"
 
-// Error is an exchange without a whole answer. Code tells by its outcome
-// whether the request may have run.
+// Error reports an exchange without a complete response. The outcome of Code
+// states whether the request may have run.
 type Error struct {
 	Code  result.Code
 	cause error
@@ -21,10 +21,10 @@
 	return "forward: " + e.Code.String() + ": " + e.cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.cause }
 
-// NotRun reports whether it is certain that the request did not run.
+// NotRun reports whether the request certainly did not run.
 func (e *Error) NotRun() bool {
 	return result.InfoOf(e.Code).Outcome == result.NotRun
 }
--- a/proxy/forward/idle_unix.go
+++ b/proxy/forward/idle_unix.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// IsIdle reports whether an idle connection is still open and silent. A target
-// that closed it, or that sent a second answer nobody asked for, shows here,
-// before a request is lost on it or the stray answer is taken for its own.
+// IsIdle reports whether the connection is open and has no unread data. It
+// detects a close by the target and an unsolicited response before the
+// connection is reused.
 func (c *Conn) IsIdle() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -17,35 +17,35 @@
 	return c.probe == nil || c.probe.wouldBlock()
 }
 
-// probe looks at a connection's input without taking or awaiting any.
-type probe struct {
-	raw   syscall.RawConn
-	look  func(fd uintptr) bool
-	first [1]byte
-	quiet bool
+// idleProbe checks for input without consuming it or blocking.
+type idleProbe struct {
+	raw      syscall.RawConn
+	peekFunc func(fd uintptr) bool
+	buf      [1]byte
+	idle     bool
 }
 
-// newProbe returns nil if the connection is not one of the system's.
-func newProbe(c net.Conn) *probe {
+// newIdleProbe returns nil if the connection has no file descriptor.
+func newIdleProbe(c net.Conn) *idleProbe {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	p := &probe{}
-	p.look = p.peek
-	// A connection that is closed by now has no raw one and is never quiet.
+	p := &idleProbe{}
+	p.peekFunc = p.peek
+	// A closed connection has no raw connection and is never reported idle.
 	p.raw, _ = sc.SyscallConn()
 	return p
 }
 
-// wouldBlock reads without waiting; only "nothing to read yet" is quiet.
-func (p *probe) wouldBlock() bool {
-	p.quiet = false
-	return p.raw != nil && p.raw.Read(p.look) == nil && p.quiet
+// wouldBlock reports whether the connection is open with nothing to read.
+func (p *idleProbe) wouldBlock() bool {
+	p.idle = false
+	return p.raw != nil && p.raw.Read(p.peekFunc) == nil && p.idle
 }
 
-func (p *probe) peek(fd uintptr) bool {
-	_, _, err := syscall.Recvfrom(int(fd), p.first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	p.quiet = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+func (p *idleProbe) peek(fd uintptr) bool {
+	_, _, err := syscall.Recvfrom(int(fd), p.buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	p.idle = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 	return true
 }
--- a/proxy/forward/receive.go
+++ b/proxy/forward/receive.go
@@ -12,77 +12,75 @@
 )
 
 const (
-	// maxInterim bounds the informational answers before the final one.
-	maxInterim = 8
-	// UnreservedResponseBytes of an answer need no reservation: a node whose memory is
-	// full of uploads must still be able to read that an order ran.
+	// maxInformational bounds 1xx responses before the final one.
+	maxInformational = 8
+	// UnreservedResponseBytes of a response body need no reservation, so that
+	// short confirmations can be read while uploads fill the memory.
 	UnreservedResponseBytes = 16 << 10
-	// stepBytes is how much memory an answer of unknown length reserves at once.
-	stepBytes = 64 << 10
+	// reserveStepBytes is the reservation step for a body of unknown length.
+	reserveStepBytes = 64 << 10
 )
 
 var (
-	errUsed     = errors.New("the connection's last exchange did not end cleanly")
-	errForeign  = errors.New("the answer belongs to another exchange")
-	errInterim  = errors.New("too many informational answers")
-	errSwitched = errors.New("the target switched protocols")
-	errNoLength = errors.New("the answer's end is not marked")
-	errMemory   = errors.New("no memory left for the answer")
+	errNotReusable          = errors.New("the connection's last exchange did not end cleanly")
+	errExchangeMismatch     = errors.New("the response belongs to another exchange")
+	errTooManyInformational = errors.New("too many informational responses")
+	errProtocolSwitch       = errors.New("the target switched protocols")
+	errUnknownLength        = errors.New("the response has neither a length nor chunked encoding")
+	errNoMemory             = errors.New("no memory left for the response")
 )
 
-// receive reads the answer. By now the request may have run, so whatever goes
-// wrong the outcome is unknown.
-func (c *Conn) receive(ctx context.Context, r *Request, exchange uint64) (*Response, error) {
-	resp, err := c.readOwnHead(r)
+// receive reads the response. The request may have run by now, so every failure
+// has an unknown outcome.
+func (c *Conn) receive(ctx context.Context, r *Request, exchangeID uint64) (*Response, error) {
+	resp, err := c.readMatchingHeader(r)
 	if err != nil {
-		return nil, newError(headCode(ctx, err), err)
+		return nil, newError(headerReadCode(ctx, err), err)
 	}
-	// The body is not closed: to close it reads the rest, until the deadline if
-	// need be, of an answer that is given up. The connection is closed instead.
-	if err := check(resp, r, exchange); err != nil {
+	// The body is not closed, since Close would drain it. An unfinished body
+	// leaves the connection not reusable instead.
+	if err := validateHeader(resp, r, exchangeID); err != nil {
 		return nil, newError(result.AnswerTruncated, err)
 	}
 	body, reserved, err := readBody(resp, r)
 	if err != nil {
-		return nil, newError(bodyCode(ctx, err), err)
+		return nil, newError(bodyReadCode(ctx, err), err)
 	}
-	c.clean = !resp.Close && c.reader.Buffered() == 0
+	c.reusable = !resp.Close && c.reader.Buffered() == 0
 	return &Response{
-		Status:   resp.StatusCode,
-		Header:   resp.Header,
-		Body:     body,
+		Status:        resp.StatusCode,
+		Header:        resp.Header,
+		Body:          body,
 		ReservedBytes: reserved,
-		NoBody:   !hasBody(resp, r),
-		Shed:     resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(result.HeaderShed) != "",
-		Draining:  resp.Header.Get(result.HeaderLeaving) != "",
+		NoBody:        !hasBody(resp, r),
+		Shed:          resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(result.HeaderShed) != "",
+		Draining:      resp.Header.Get(result.HeaderLeaving) != "",
 	}, nil
 }
 
-// maxStray bounds the answers to other requests that are skipped before the own one.
-const maxStray = 2
-
-// readOwnHead reads the head of the answer to this request.
-//
-// Guard against a target that answers an earlier request a second time, late: the
-// second answer comes where this one's is expected, and would go to the wrong
-// caller. It is told by the id that targets repeat, and is read to its end.
-func (c *Conn) readOwnHead(r *Request) (*http.Response, error) {
-	for range maxStray {
-		resp, err := c.readHead(r)
-		if err != nil || !r.Dialect.isStray(resp) {
+// maxResponseHeaders bounds the responses read to find the matching one.
+const maxResponseHeaders = 2
+
+// readMatchingHeader reads the header of the response to this request. A late
+// duplicate response to an earlier request carries another request ID and is
+// discarded, so that it does not reach the wrong client.
+func (c *Conn) readMatchingHeader(r *Request) (*http.Response, error) {
+	for range maxResponseHeaders {
+		resp, err := c.readFinalHeader(r)
+		if err != nil || !r.Dialect.isMismatch(resp) {
 			return resp, err
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, errForeign
+			return nil, errExchangeMismatch
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errForeign
+	return nil, errExchangeMismatch
 }
 
-func (d *Dialect) isStray(resp *http.Response) bool {
+func (d *Dialect) isMismatch(resp *http.Response) bool {
 	if d == nil {
 		return false
 	}
@@ -90,42 +88,40 @@
 	return got != "" && got != d.ID
 }
 
-func (c *Conn) readHead(r *Request) (*http.Response, error) {
-	c.asked.Method = r.Method
-	for range maxInterim {
-		resp, err := http.ReadResponse(c.reader, &c.asked)
+func (c *Conn) readFinalHeader(r *Request) (*http.Response, error) {
+	c.pendingRequest.Method = r.Method
+	for range maxInformational {
+		resp, err := http.ReadResponse(c.reader, &c.pendingRequest)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errSwitched
+			return nil, errProtocolSwitch
 		}
 		if resp.StatusCode >= http.StatusOK {
 			return resp, nil
 		}
 	}
-	return nil, errInterim
+	return nil, errTooManyInformational
 }
 
-// check refuses what cannot be told to be this request's whole answer.
-func check(resp *http.Response, r *Request, exchange uint64) error {
-	// A target that repeats the exchange number lets an answer that came too
-	// late, or twice, be told from the one that is waited for.
-	if got := resp.Header.Get(result.HeaderExchange); r.Dialect == nil && got != "" && !isExchange(got, exchange) {
-		return errForeign
+// validateHeader rejects a response to another exchange or of unknown length.
+func validateHeader(resp *http.Response, r *Request, exchangeID uint64) error {
+	// A late or duplicate response carries the ID of another exchange.
+	if got := resp.Header.Get(result.HeaderExchange); r.Dialect == nil && got != "" && !isExchangeID(got, exchangeID) {
+		return errExchangeMismatch
 	}
-	// A body that ends with the connection looks the same whether it is whole
-	// or cut.
+	// A truncated close-delimited body cannot be told from a complete one.
 	closeDelimited := r.Dialect != nil && r.Dialect.CloseDelimited
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && hasBody(resp, r) && !closeDelimited {
-		return errNoLength
+		return errUnknownLength
 	}
 	return nil
 }
 
-func isExchange(text string, exchange uint64) bool {
+func isExchangeID(value string, exchangeID uint64) bool {
 	var digits [16]byte
-	return text == string(appendExchange(digits[:0], exchange))
+	return value == string(appendExchangeID(digits[:0], exchangeID))
 }
 
 func hasBody(resp *http.Response, r *Request) bool {
@@ -135,28 +131,28 @@
 	return resp.StatusCode != http.StatusNoContent && resp.StatusCode != http.StatusNotModified
 }
 
-// readBody returns the body and the bytes reserved for it.
+// readBody returns the body and the number of bytes reserved for it.
 func readBody(resp *http.Response, r *Request) ([]byte, int64, error) {
 	if !hasBody(resp, r) {
 		return nil, 0, nil
 	}
 	if resp.ContentLength > r.MaxResponseBytes {
-		return nil, 0, errOverLimit
+		return nil, 0, errResponseTooLarge
 	}
 	if resp.ContentLength >= 0 {
-		return readKnown(resp, r)
+		return readFixedLength(resp, r)
 	}
 	return readChunked(resp, r)
 }
 
-func readKnown(resp *http.Response, r *Request) ([]byte, int64, error) {
-	reserved := overFree(resp.ContentLength)
-	if !take(r, reserved) {
-		return nil, 0, errMemory
+func readFixedLength(resp *http.Response, r *Request) ([]byte, int64, error) {
+	reserved := bytesToReserve(resp.ContentLength)
+	if !reserve(r, reserved) {
+		return nil, 0, errNoMemory
 	}
 	body := make([]byte, resp.ContentLength)
 	if _, err := io.ReadFull(resp.Body, body); err != nil {
-		give(r, reserved)
+		release(r, reserved)
 		return nil, 0, err
 	}
 	return body, reserved, nil
@@ -165,31 +161,31 @@
 func readChunked(resp *http.Response, r *Request) ([]byte, int64, error) {
 	var body bytes.Buffer
 	reserved := int64(0)
-	for step := int64(UnreservedResponseBytes); ; step = stepBytes {
+	for step := int64(UnreservedResponseBytes); ; step = reserveStepBytes {
 		_, err := io.CopyN(&body, resp.Body, step)
 		if int64(body.Len()) > r.MaxResponseBytes {
-			err = errOverLimit
+			err = errResponseTooLarge
 		}
 		if errors.Is(err, io.EOF) {
 			return body.Bytes(), reserved, nil
 		}
-		if err == nil && !take(r, stepBytes) {
-			err = errMemory
+		if err == nil && !reserve(r, reserveStepBytes) {
+			err = errNoMemory
 		}
 		if err != nil {
-			give(r, reserved)
+			release(r, reserved)
 			return nil, 0, err
 		}
-		reserved += stepBytes
+		reserved += reserveStepBytes
 	}
 }
 
-// overFree returns how much of an answer has to be reserved.
-func overFree(length int64) int64 { return max(0, length-UnreservedResponseBytes) }
+// bytesToReserve returns the reservation for a body of the given length.
+func bytesToReserve(length int64) int64 { return max(0, length-UnreservedResponseBytes) }
 
-func take(r *Request, n int64) bool { return n == 0 || r.Memory == nil || r.Memory.Take(n) }
+func reserve(r *Request, n int64) bool { return n == 0 || r.Memory == nil || r.Memory.Take(n) }
 
-func give(r *Request, n int64) {
+func release(r *Request, n int64) {
 	if n > 0 && r.Memory != nil {
 		r.Memory.Give(n)
 	}
--- a/proxy/forward/request.go
+++ b/proxy/forward/request.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// Request is what is sent to a target. It is only read, so that the same one
-// may be sent again by the caller.
+// Request is a request to a target. Exchange does not modify it, so the caller
+// may send it again.
 type Request struct {
 	Method string
-	// URI is the request target as it goes on the wire, path and query.
+	// URI is the path and query as written on the request line.
 	URI  string
 	Host string
-	// Header is sent without the hop-by-hop fields, Content-Length and Host.
+	// Header is sent without hop-by-hop fields, Content-Length and Host.
 	Header http.Header
-	// Body holds the body in pieces, Length is their sum in bytes.
+	// Body holds the body in consecutive buffers, Length their total size.
 	Body   [][]byte
 	Length int64
-	// BodySource gives the body instead of Body if it may still be coming.
+	// BodySource replaces Body for a body that is still being received.
 	BodySource BodySource
-	// Deadline is when the caller gives up.
+	// Deadline ends the exchange.
 	Deadline time.Time
-	// MaxResponseBytes bounds the body of the answer.
+	// MaxResponseBytes bounds the response body.
 	MaxResponseBytes int64
-	// Memory bounds the bytes of answers in sum; nil does not bound them.
+	// Memory bounds the total size of buffered responses; nil means no bound.
 	Memory Memory
-	// Dialect replaces the fields that this package writes and reads itself; nil
-	// is the project's own protocol.
+	// Dialect replaces this package's own header fields; nil selects the
+	// Yucca-* fields.
 	Dialect *Dialect
 }
 
-// Dialect is how targets of another protocol name the deadline and tell answers
-// apart.
+// Dialect configures the header fields and framing rules of targets that do not
+// use the Yucca-* fields.
 type Dialect struct {
-	// DeadlineField gets the milliseconds that are left.
+	// DeadlineField carries the remaining time in milliseconds.
 	DeadlineField string
-	// IDField carries the id of the request, which targets repeat.
+	// IDField carries the request ID, which targets echo in the response.
 	IDField string
-	// ID of this request; it is sent once, with the request's own fields.
+	// ID is the ID of this request.
 	ID string
-	// CloseDelimited takes an answer without a length as whole if the target
-	// closes the connection after it in order, without a reset.
+	// CloseDelimited accepts a response without a length that ends with an
+	// orderly close of the connection.
 	CloseDelimited bool
 }
 
-// BodySource is a body that may still be coming.
+// BodySource is a body that may still be in transfer.
 type BodySource interface {
-	// At returns bytes of the body from an offset on, which are only to be
-	// read, and waits for the first of them. It returns an error if they do not
-	// come, at once if the context has ended.
+	// At returns the bytes available from an offset, which the caller must not
+	// modify, and blocks until there is at least one. It returns an error if
+	// none arrive, at once when the context is done.
 	At(ctx context.Context, offset int64) ([]byte, error)
 }
 
-// Memory is a bound on buffered bytes.
+// Memory limits buffered bytes.
 type Memory interface {
-	// Take reserves bytes, or returns false at once if there are too few.
+	// Take reserves bytes without blocking and reports whether it could.
 	Take(bytes int64) bool
-	// Give returns reserved bytes.
+	// Give releases reserved bytes.
 	Give(bytes int64)
 }
--- a/proxy/forward/response.go
+++ b/proxy/forward/response.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// Response is a target's whole answer.
+// Response is a complete response from a target.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// ReservedBytes is what the body took of Request.Memory, to be given back.
+	// ReservedBytes is the part of Request.Memory that holds the body; the
+	// caller returns it.
 	ReservedBytes int64
-	// SendDuration is the time that writing the request took, the time in which its
-	// body had still to come excepted; 0 for a short or unfinished one.
+	// SendDuration is the time spent writing the request, without waiting for
+	// body bytes. It is zero for a small body or an incomplete write.
 	SendDuration time.Duration
-	// NoBody tells that an answer of this kind has none (HEAD, 204, 304).
+	// NoBody is set for responses without a body (HEAD, 204, 304).
 	NoBody bool
-	// Shed tells that the target refused the request before running it.
+	// Shed is set if the target rejected the request before running it.
 	Shed bool
-	// Draining tells that the target takes no new work.
+	// Draining is set if the target accepts no new requests.
 	Draining bool
 }
 
-// ContentLengthHeader returns the Content-Length to pass on, nil for none; it is only
-// to be read. It is the length of the body, whatever the target wrote. An
-// answer to HEAD tells the length that GET would have.
-func (a *Response) ContentLengthHeader() []string {
-	told := a.Header["Content-Length"]
-	if a.NoBody {
-		return parsedLength(told)
+// ContentLengthHeader returns the Content-Length values to forward, nil for
+// none; the caller must not modify them. The length is that of the body read,
+// except for a response without a body, whose header is forwarded.
+func (r *Response) ContentLengthHeader() []string {
+	values := r.Header["Content-Length"]
+	if r.NoBody {
+		return parseContentLength(values)
 	}
 	var digits [20]byte
-	length := strconv.AppendInt(digits[:0], int64(len(a.Body)), 10)
-	if len(told) == 1 && told[0] == string(length) {
-		return told
+	length := strconv.AppendInt(digits[:0], int64(len(r.Body)), 10)
+	if len(values) == 1 && values[0] == string(length) {
+		return values
 	}
 	return []string{string(length)}
 }
 
-func parsedLength(told []string) []string {
-	if len(told) == 0 {
+func parseContentLength(values []string) []string {
+	if len(values) == 0 {
 		return nil
 	}
-	n, err := strconv.ParseInt(told[0], 10, 64)
+	n, err := strconv.ParseInt(values[0], 10, 64)
 	if err != nil || n < 0 {
 		return nil
 	}
--- a/proxy/ingress/options.go
+++ b/proxy/ingress/options.go
@@ -9,12 +9,12 @@
 
 // Defaults of Options.
 const (
-	DefaultMaxHeaderBytes   = 32 << 10
+	DefaultMaxHeaderBytes = 32 << 10
 	DefaultMaxBodyBytes   = 64 << 20
 	DefaultMaxConnections = 8192
-	DefaultHeaderTimeout    = 10 * time.Second
+	DefaultHeaderTimeout  = 10 * time.Second
 	DefaultBodyTimeout    = 30 * time.Second
-	DefaultWriteTimeout  = 10 * time.Second
+	DefaultWriteTimeout   = 10 * time.Second
 	DefaultIdleTimeout    = 2 * time.Minute
 )
 
@@ -51,7 +51,7 @@
 	BodyAdmitter BodyAdmitter
 	// MaxHeaderBytes bounds request line and fields, MaxBodyBytes one body.
 	MaxHeaderBytes int
-	MaxBodyBytes int
+	MaxBodyBytes   int
 	// MaxConnections bounds callers' connections.
 	MaxConnections int
 	// HeaderTimeout and BodyTimeout bound how long a head and a body may take to come,
--- a/proxy/reserve.go
+++ b/proxy/reserve.go
@@ -14,7 +14,7 @@
 
 var _ ingress.BodyAdmitter = (*Proxy)(nil)
 
-// ReserveBody implements ingress.Bodies: it refuses a body over the service's
+// ReserveBody implements ingress.BodyAdmitter: it refuses a body over the service's
 // limit, or over what the account may hold in memory, before its bytes come.
 // The whole length is reserved at once, so that uploads never hold memory
 // while they wait for each other.
