--- a/proxy/forward/conn_test.go
+++ b/proxy/forward/conn_test.go
@@ -13,225 +13,222 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// A target answers one request twice, whole or in part, at once or later. The
-// second answer must never reach the next caller: the connection is given up.
-func TestStrayAnswerEndsTheConnection(t *testing.T) {
+// Data after the response, such as a duplicate response, must not reach the next
+// exchange.
+func TestUnsolicitedResponseMakesConnNotReusable(t *testing.T) {
 	cases := map[string]string{
-		"two answers in one read":       answerWith("one") + answerWith("two"),
-		"half an answer more":           answerWith("one") + "HTTP/1.1 2",
-		"one byte more than the length": answerWith("one") + "\n",
+		"duplicate response":           okResponse("one") + okResponse("two"),
+		"partial second response":      okResponse("one") + "HTTP/1.1 2",
+		"one byte past Content-Length": okResponse("one") + "\n",
 	}
 	for name, text := range cases {
 		t.Run(name, func(t *testing.T) {
-			c := connect(t, answers(text))
-			a, err := c.Exchange(background, get("/stock"))
-			if err != nil || string(a.Body) != "one" {
-				t.Fatalf("%v %v", a, err)
+			c := newTestConn(t, respondWith(text))
+			resp, err := c.Exchange(background, newGet("/stock"))
+			if err != nil || string(resp.Body) != "one" {
+				t.Fatalf("%v %v", resp, err)
 			}
 			if c.Reusable() || c.IsIdle() {
-				t.Fatal("the connection counts as clean")
+				t.Fatal("the connection is reusable")
 			}
 		})
 	}
 }
 
-// As before, but the second answer comes only after the first was read.
-func TestLateStrayAnswerIsSeenBeforeReuse(t *testing.T) {
-	more, sent := make(chan struct{}), make(chan struct{})
-	c := connect(t, func(p *peer) {
-		p.next()
-		p.say(answerWith("one"))
-		<-more
-		p.say(answerWith("two"))
+// A duplicate response that arrives after the exchange must be detected.
+func TestLateUnsolicitedResponseIsDetectedBeforeReuse(t *testing.T) {
+	sendSecond, sent := make(chan struct{}), make(chan struct{})
+	c := newTestConn(t, func(p *scriptedTarget) {
+		p.readRequest()
+		p.write(okResponse("one"))
+		<-sendSecond
+		p.write(okResponse("two"))
 		close(sent)
-		p.next()
+		p.readRequest()
 	})
-	if _, err := c.Exchange(background, get("/stock")); err != nil || !c.Reusable() || !c.IsIdle() {
+	if _, err := c.Exchange(background, newGet("/stock")); err != nil || !c.Reusable() || !c.IsIdle() {
 		t.Fatalf("error %v", err)
 	}
-	close(more)
+	close(sendSecond)
 	<-sent
-	waitNotQuiet(c)
+	waitNotIdle(c)
 	if c.IsIdle() {
-		t.Fatal("the connection counts as quiet")
+		t.Fatal("the connection is reported idle")
 	}
 }
 
-// waitNotQuiet gives the bytes time to cross the loopback device.
-func waitNotQuiet(c *Conn) {
+// waitNotIdle polls until the written bytes have arrived.
+func waitNotIdle(c *Conn) {
 	for i := 0; i < 1_000_000 && c.IsIdle(); i++ {
 	}
 }
 
-// A target sends fields without an end. The answer must not fill the memory.
-func TestEndlessHeadIsCut(t *testing.T) {
-	c := connect(t, func(p *peer) {
-		p.next()
-		p.say("HTTP/1.1 200 OK\r\n")
+// An endless response header must not exhaust memory.
+func TestResponseHeaderSizeIsLimited(t *testing.T) {
+	c := newTestConn(t, func(p *scriptedTarget) {
+		p.readRequest()
+		p.write("HTTP/1.1 200 OK\r\n")
 		for range 1 << 10 {
 			if _, err := p.Write([]byte("A: " + strings.Repeat("a", 4<<10) + "\r\n")); err != nil {
 				return
 			}
 		}
-		p.next()
+		p.readRequest()
 	})
-	_, err := c.Exchange(background, get("/stock"))
+	_, err := c.Exchange(background, newGet("/stock"))
 	wantError(t, err, result.AnswerTooLarge)
 }
 
-// The target repeats the number of an earlier exchange: its answer is a late
-// one and must not be taken for the awaited one.
-func TestAnswerOfAnotherExchangeIsRefused(t *testing.T) {
-	c := connect(t, func(p *peer) {
-		first := p.next().Header.Get(result.HeaderExchange)
-		p.say("HTTP/1.1 200 OK\r\nYucca-Exchange: " + first + "\r\nContent-Length: 3\r\n\r\none")
-		p.next()
-		p.say("HTTP/1.1 200 OK\r\nYucca-Exchange: " + first + "\r\nContent-Length: 3\r\n\r\none")
+// A response with the ID of an earlier exchange must not be accepted.
+func TestResponseOfAnotherExchangeIsRejected(t *testing.T) {
+	c := newTestConn(t, func(p *scriptedTarget) {
+		first := p.readRequest().Header.Get(result.HeaderExchange)
+		p.write("HTTP/1.1 200 OK\r\nYucca-Exchange: " + first + "\r\nContent-Length: 3\r\n\r\none")
+		p.readRequest()
+		p.write("HTTP/1.1 200 OK\r\nYucca-Exchange: " + first + "\r\nContent-Length: 3\r\n\r\none")
 	})
-	if _, err := c.Exchange(background, get("/stock")); err != nil {
+	if _, err := c.Exchange(background, newGet("/stock")); err != nil {
 		t.Fatal(err)
 	}
-	_, err := c.Exchange(background, get("/stock"))
+	_, err := c.Exchange(background, newGet("/stock"))
 	wantError(t, err, result.AnswerTruncated)
 	if c.Reusable() {
-		t.Fatal("the connection counts as clean")
+		t.Fatal("the connection is reusable")
 	}
 }
 
-// The caller's deadline passes while the target works; the answer comes later.
-// It must not be read by the next exchange.
-func TestDeadlineAfterSending(t *testing.T) {
-	c := connect(t, func(p *peer) { p.next(); p.next() })
-	r := post("order")
+// After a timeout, a late response must not be read by the next exchange.
+func TestDeadlineAfterSend(t *testing.T) {
+	c := newTestConn(t, func(p *scriptedTarget) { p.readRequest(); p.readRequest() })
+	r := newPost("order")
 	r.Deadline = time.Now().Add(30 * time.Millisecond)
 	_, err := c.Exchange(background, r)
 	wantError(t, err, result.DeadlineAfterSend)
 	if c.Reusable() {
-		t.Fatal("the connection counts as clean")
+		t.Fatal("the connection is reusable")
 	}
-	_, err = c.Exchange(background, get("/stock"))
+	_, err = c.Exchange(background, newGet("/stock"))
 	wantError(t, err, result.ConnectFailed)
 }
 
-// The caller goes while the target works. The target must see the connection
-// close, or it works on for nobody.
-func TestCancellationReachesTheTarget(t *testing.T) {
+// Cancellation must end the exchange, so that the target sees the connection
+// close.
+func TestCancellationClosesTargetConnection(t *testing.T) {
 	ctx, cancel := context.WithCancel(background)
-	saw := make(chan bool, 1)
-	c := NewConn(open(t, func(p *peer) {
-		p.next()
+	observed := make(chan bool, 1)
+	c := NewConn(dialTarget(t, func(p *scriptedTarget) {
+		p.readRequest()
 		cancel()
-		saw <- p.next() == nil
+		observed <- p.readRequest() == nil
 	}))
-	_, err := c.Exchange(ctx, post("order"))
+	_, err := c.Exchange(ctx, newPost("order"))
 	wantError(t, err, result.CallerGone)
 	c.Close()
-	if !<-saw {
-		t.Fatal("the target got another request")
+	if !<-observed {
+		t.Fatal("the target received another request")
 	}
 }
 
-// brokenConn takes some bytes of a request and then fails.
+// brokenConn fails after writing a number of bytes.
 type brokenConn struct {
 	net.Conn
-	takes int
+	remaining int
 }
 
 func (b *brokenConn) Write(p []byte) (int, error) {
-	n := min(b.takes, len(p))
-	b.takes -= n
+	n := min(b.remaining, len(p))
+	b.remaining -= n
 	if n < len(p) {
 		return n, errors.New("broken")
 	}
 	return n, nil
 }
 
-// The connection breaks while the request is written. Only if the system took
-// not one byte is it certain that the order did not run.
-func TestBrokenWrite(t *testing.T) {
+// A failed write counts as not run only if no byte was written.
+func TestPartialWriteOutcome(t *testing.T) {
 	for _, c := range []struct {
 		takes int
 		want  result.Code
 	}{{0, result.ConnectFailed}, {1, result.ConnectionLost}, {60, result.ConnectionLost}} {
 		for _, body := range []string{"order", strings.Repeat("a", 1<<20)} {
-			conn := open(t, func(*peer) {})
-			_, err := NewConn(&brokenConn{Conn: conn, takes: c.takes}).Exchange(background, post(body))
+			conn := dialTarget(t, func(*scriptedTarget) {})
+			_, err := NewConn(&brokenConn{Conn: conn, remaining: c.takes}).Exchange(background, newPost(body))
 			wantError(t, err, c.want)
 		}
 	}
 }
 
-func TestPassedDeadlineIsNotSent(t *testing.T) {
-	c := connect(t, func(p *peer) { p.next() })
-	r := post("order")
+func TestExpiredDeadlineIsNotSent(t *testing.T) {
+	c := newTestConn(t, func(p *scriptedTarget) { p.readRequest() })
+	r := newPost("order")
 	r.Deadline = time.Now().Add(-time.Second)
 	_, err := c.Exchange(background, r)
 	wantError(t, err, result.DeadlineBeforeSend)
 	if !err.(*Error).NotRun() {
-		t.Fatal("not told that it did not run")
+		t.Fatal("NotRun is false for a request that was not sent")
 	}
 }
 
-// Informational answers come before the final one and are not it.
-func TestInformationalAnswersAreSkipped(t *testing.T) {
-	c := connect(t, func(p *peer) {
-		p.next()
-		p.say("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + answerWith("one"))
-		p.next()
-		p.say(answerWith("two"))
+// 1xx responses precede the final response and must be skipped.
+func TestInformationalResponsesAreSkipped(t *testing.T) {
+	c := newTestConn(t, func(p *scriptedTarget) {
+		p.readRequest()
+		p.write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n" + okResponse("one"))
+		p.readRequest()
+		p.write(okResponse("two"))
 	})
 	for _, want := range []string{"one", "two"} {
-		a, err := c.Exchange(background, get("/stock"))
-		if err != nil || string(a.Body) != want {
-			t.Fatalf("%v %v, want %s", a, err, want)
+		resp, err := c.Exchange(background, newGet("/stock"))
+		if err != nil || string(resp.Body) != want {
+			t.Fatalf("%v %v, want %s", resp, err, want)
 		}
 	}
 }
 
-// A target refuses an upload at its head and stops reading. The refusal must be
-// seen at once, or an upload that could go elsewhere ends in "unknown".
-func TestEarlyAnswerToALongUpload(t *testing.T) {
+// A target may reject an upload before reading the body. The response must be
+// returned at once rather than lost in a blocked write.
+func TestEarlyResponseToLargeUpload(t *testing.T) {
 	shed := "HTTP/1.1 503 Busy\r\nYucca-Shed: 1\r\nContent-Length: 0\r\n\r\n"
 	seen := make(chan struct{})
-	c := connect(t, func(p *peer) {
+	c := newTestConn(t, func(p *scriptedTarget) {
 		if _, err := http.ReadRequest(p.reader); err == nil {
-			p.say(shed)
+			p.write(shed)
 		}
 		<-seen
 	})
-	a, err := c.Exchange(background, post(strings.Repeat("a", 32<<20)))
+	resp, err := c.Exchange(background, newPost(strings.Repeat("a", 32<<20)))
 	close(seen)
-	if err != nil || !a.Shed {
-		t.Fatalf("%v %v", a, err)
+	if err != nil || !resp.Shed {
+		t.Fatalf("%v %v", resp, err)
 	}
 	if c.Reusable() {
-		t.Fatal("the connection counts as clean")
+		t.Fatal("the connection is reusable")
 	}
 }
 
-func TestLongUploadIsSentWhole(t *testing.T) {
-	c := connect(t, func(p *peer) {
-		for r := p.next(); r != nil; r = p.next() {
-			p.say(answerWith("one"))
+func TestLargeUploadIsSentCompletely(t *testing.T) {
+	c := newTestConn(t, func(p *scriptedTarget) {
+		for r := p.readRequest(); r != nil; r = p.readRequest() {
+			p.write(okResponse("one"))
 		}
 	})
 	for range 2 {
-		a, err := c.Exchange(background, post(strings.Repeat("a", 4<<20)))
-		if err != nil || string(a.Body) != "one" || !c.Reusable() {
-			t.Fatalf("%v %v", a, err)
+		resp, err := c.Exchange(background, newPost(strings.Repeat("a", 4<<20)))
+		if err != nil || string(resp.Body) != "one" || !c.Reusable() {
+			t.Fatalf("%v %v", resp, err)
 		}
 	}
 }
 
-// Fields that concern one connection, and fields a caller uses to pass as the
-// entry VM, do not reach the target.
+// Hop-by-hop fields and client-supplied values of the proxy's own fields must
+// not reach the target.
 func TestHopByHopFieldsAreNotForwarded(t *testing.T) {
 	seen := make(chan *http.Request, 1)
-	c := connect(t, func(p *peer) {
-		seen <- p.next()
-		p.say(answerWith("one"))
+	c := newTestConn(t, func(p *scriptedTarget) {
+		seen <- p.readRequest()
+		p.write(okResponse("one"))
 	})
-	r := post("order")
+	r := newPost("order")
 	r.Header = http.Header{
 		"Connection":          {"X-Private, close"},
 		"X-Private":           {"1"},
@@ -251,17 +248,17 @@
 	}
 }
 
-// A caller puts line ends and blanks into names and values of fields. The target
-// must see one request with the fields of one line each, and no second order.
-func TestFieldsStayOnTheirLine(t *testing.T) {
+// Line breaks in field names and values must not smuggle a field or a second
+// request.
+func TestLineBreaksInFieldsAreSanitized(t *testing.T) {
 	const second = "x\r\nX-Hidden: 1\r\n\r\nPOST /orders HTTP/1.1\r\nHost: target\r\n\r\n"
 	seen := make(chan *http.Request, 2)
-	c := NewConn(open(t, func(p *peer) {
-		seen <- p.next()
-		p.say(answerWith("one"))
-		seen <- p.next()
+	c := NewConn(dialTarget(t, func(p *scriptedTarget) {
+		seen <- p.readRequest()
+		p.write(okResponse("one"))
+		seen <- p.readRequest()
 	}))
-	r := get("/stock")
+	r := newGet("/stock")
 	r.Header = http.Header{
 		"X-Value":              {second, "  trimmed\t"},
 		second:                 {"1"},
@@ -279,82 +276,81 @@
 	if values := got.Header["X-Value"]; len(values) != 2 || values[0] != want || values[1] != "trimmed" {
 		t.Fatalf("values %q", values)
 	}
-	// The value, the odd but permitted name, and the entry VM's own two fields.
+	// X-Value, the valid unusual name, and the two fields that the proxy adds.
 	if len(got.Header) != 4 || got.Header["X-Kept!#$%&'*+.^_`|~"] == nil {
 		t.Fatalf("fields %q", got.Header)
 	}
 	c.Close()
 	if hidden := <-seen; hidden != nil {
-		t.Fatalf("a second request %s %s", hidden.Method, hidden.URL)
+		t.Fatalf("smuggled request %s %s", hidden.Method, hidden.URL)
 	}
 }
 
-// fullMemory has no bytes left.
+// fullMemory refuses every reservation.
 type fullMemory struct{ balance int64 }
 
 func (m *fullMemory) Take(int64) bool { return false }
 func (m *fullMemory) Give(n int64)    { m.balance += n }
 
-func exchangeWithoutMemory(t *testing.T, answer string) (*Response, error) {
+func exchangeWithoutMemory(t *testing.T, response string) (*Response, error) {
 	t.Helper()
-	c := connect(t, answers(answer))
-	r := get("/stock")
+	c := newTestConn(t, respondWith(response))
+	r := newGet("/stock")
 	memory := &fullMemory{}
 	r.Memory = memory
-	a, err := c.Exchange(background, r)
+	resp, err := c.Exchange(background, r)
 	if memory.balance != 0 {
-		t.Fatalf("%d bytes given back that were not taken", memory.balance)
+		t.Fatalf("%d bytes released that were not reserved", memory.balance)
 	}
-	return a, err
+	return resp, err
 }
 
-// The node's memory is full of uploads. A large answer is not read into it, and
-// the short confirmation of an order still is.
-func TestAnswersWithoutMemory(t *testing.T) {
-	for _, head := range []string{"Content-Length: 16385\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n4001\r\n"} {
-		_, err := exchangeWithoutMemory(t, "HTTP/1.1 200 OK\r\n"+head+strings.Repeat("a", 16385))
+// Without free memory a large response is rejected and a short one still
+// accepted.
+func TestResponsesWithoutMemory(t *testing.T) {
+	for _, header := range []string{"Content-Length: 16385\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n4001\r\n"} {
+		_, err := exchangeWithoutMemory(t, "HTTP/1.1 200 OK\r\n"+header+strings.Repeat("a", 16385))
 		wantError(t, err, result.AnswerTooLarge)
 	}
 	for _, rest := range []string{"Content-Length: 2\r\n\r\nok", "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"} {
-		a, err := exchangeWithoutMemory(t, "HTTP/1.1 200 OK\r\n"+rest)
-		if err != nil || string(a.Body) != "ok" || a.ReservedBytes != 0 {
-			t.Fatalf("%v %v", a, err)
+		resp, err := exchangeWithoutMemory(t, "HTTP/1.1 200 OK\r\n"+rest)
+		if err != nil || string(resp.Body) != "ok" || resp.ReservedBytes != 0 {
+			t.Fatalf("%v %v", resp, err)
 		}
 	}
 }
 
-// stalled is a body whose second half never comes.
-type stalled struct{ half []byte }
+// stalledBody fails after its first half.
+type stalledBody struct{ half []byte }
 
-func (s stalled) At(_ context.Context, offset int64) ([]byte, error) {
+func (b stalledBody) At(_ context.Context, offset int64) ([]byte, error) {
 	if offset > 0 {
 		return nil, errors.New("stalled")
 	}
-	return s.half, nil
+	return b.half, nil
 }
 
-// A caller stops sending in the middle of its upload and stays connected. The
-// request ends with an unknown outcome, as half of it was sent; the target sees
-// its connection close, not a whole body, and it is not used again.
-func TestBodyThatStallsEndsTheExchange(t *testing.T) {
-	saw := make(chan error, 1)
-	c := connect(t, func(p *peer) {
+// If an upload stalls, the target must see a truncated body rather than wait
+// for the rest, and the connection must not be reused.
+func TestStalledBodyAbortsExchange(t *testing.T) {
+	observed := make(chan error, 1)
+	c := newTestConn(t, func(p *scriptedTarget) {
 		r, err := http.ReadRequest(p.reader)
 		if err == nil {
 			_, err = io.Copy(io.Discard, r.Body)
 		}
-		saw <- err
+		observed <- err
 	})
-	r := post("")
+	r := newPost("")
 	r.Deadline = time.Now().Add(time.Hour)
-	r.BodySource, r.Length = stalled{half: make([]byte, maxBufferedBodyBytes)}, 2*maxBufferedBodyBytes
+	r.BodySource, r.Length = stalledBody{half: make([]byte, maxBufferedBodyBytes)}, 2*maxBufferedBodyBytes
 	_, err := c.Exchange(background, r)
 	wantError(t, err, result.DeadlineAfterSend)
 	if c.Reusable() {
-		t.Fatal("the connection counts as clean")
+		t.Fatal("the connection is reusable")
 	}
 	c.Close()
-	if err := <-saw; !errors.Is(err, io.ErrUnexpectedEOF) {
+	if err := <-observed; !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatalf("the target read the body with %v", err)
 	}
 }
--- a/proxy/forward/fuzz_test.go
+++ b/proxy/forward/fuzz_test.go
@@ -10,44 +10,44 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// replay is a connection whose other side has already said everything.
-type replay struct {
+// replayConn reads from a fixed text and discards writes.
+type replayConn struct {
 	net.Conn
 	text io.Reader
 	read int
 }
 
-func (r *replay) Read(p []byte) (int, error) {
+func (r *replayConn) Read(p []byte) (int, error) {
 	n, err := r.text.Read(p)
 	r.read += n
 	return n, err
 }
-func (*replay) Write(p []byte) (int, error)      { return len(p), nil }
-func (*replay) Close() error                     { return nil }
-func (*replay) SetDeadline(time.Time) error      { return nil }
-func (*replay) SetReadDeadline(time.Time) error  { return nil }
-func (*replay) SetWriteDeadline(time.Time) error { return nil }
+func (*replayConn) Write(p []byte) (int, error)      { return len(p), nil }
+func (*replayConn) Close() error                     { return nil }
+func (*replayConn) SetDeadline(time.Time) error      { return nil }
+func (*replayConn) SetReadDeadline(time.Time) error  { return nil }
+func (*replayConn) SetWriteDeadline(time.Time) error { return nil }
 
-// exchangeWith returns what an exchange makes of a target's bytes, and how many
-// of them it used.
-func exchangeWith(method string, text []byte) (a *Response, used int, err error) {
-	conn := &replay{text: bytes.NewReader(text)}
+// exchangeWith runs an exchange against the given response bytes and returns how
+// many of them were consumed.
+func exchangeWith(method string, text []byte) (resp *Response, used int, err error) {
+	conn := &replayConn{text: bytes.NewReader(text)}
 	c := NewConn(conn)
-	r := get("/stock")
+	r := newGet("/stock")
 	r.Method = method
 	r.MaxResponseBytes = 1 << 10
-	a, err = c.Exchange(background, r)
-	return a, conn.read - c.reader.Buffered(), err
+	resp, err = c.Exchange(background, r)
+	return resp, conn.read - c.reader.Buffered(), err
 }
 
-// FuzzAnswer feeds bytes of a target. An answer is within its limit and is not
-// passed off as whole when its last byte is missing; anything else is "unknown",
-// as the request was sent.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse checks that a response is within its limit, that one without its
+// last byte is not accepted as complete, and that every error has an unknown
+// outcome.
+func FuzzResponse(f *testing.F) {
 	for _, text := range []string{
-		answerWith("one"),
-		answerWith("one") + answerWith("two"),
-		"HTTP/1.1 100 Continue\r\n\r\n" + answerWith("one"),
+		okResponse("one"),
+		okResponse("one") + okResponse("two"),
+		"HTTP/1.1 100 Continue\r\n\r\n" + okResponse("one"),
 		"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n",
 		"HTTP/1.1 204 No Content\r\n\r\n",
 		"HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n",
@@ -70,18 +70,18 @@
 		if head {
 			method = "HEAD"
 		}
-		a, used, err := exchangeWith(method, text)
+		resp, used, err := exchangeWith(method, text)
 		if err != nil {
 			if outcome := result.InfoOf(err.(*Error).Code).Outcome; outcome != result.Unknown {
 				t.Fatalf("outcome %s after the request was sent: %v", outcome, err)
 			}
 			return
 		}
-		if len(a.Body) > 1<<10 || a.Status < 200 || a.Status > 999 {
-			t.Fatalf("answer %d with %d bytes", a.Status, len(a.Body))
+		if len(resp.Body) > 1<<10 || resp.Status < 200 || resp.Status > 999 {
+			t.Fatalf("status %d with %d bytes", resp.Status, len(resp.Body))
 		}
-		if cut, _, err := exchangeWith(method, text[:used-1]); err == nil {
-			t.Fatalf("%q passed off as whole without its last byte: %q", text[:used], cut.Body)
+		if truncated, _, err := exchangeWith(method, text[:used-1]); err == nil {
+			t.Fatalf("%q accepted as complete without its last byte: %q", text[:used], truncated.Body)
 		}
 	})
 }
--- a/proxy/forward/nbhttp_test.go
+++ b/proxy/forward/nbhttp_test.go
@@ -9,13 +9,12 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// These tests show why the connections to targets do not use the client of
-// nbhttp v1.6.8, and fail should a later version do better. Each is a target
-// that is within HTTP or breaks it in a way that must not harm another caller.
+// These tests document faults of the nbhttp client that rule it out for target
+// connections. They fail once the library mends them.
 
-// libraryAnswers sends two requests one after the other on one connection of
-// nbhttp's client and returns the bodies of the answers.
-func libraryAnswers(t *testing.T, script func(p *peer)) []string {
+// exchangeTwice sends two requests over one nbhttp client connection and returns
+// the response bodies.
+func exchangeTwice(t *testing.T, script func(p *scriptedTarget)) []string {
 	t.Helper()
 	logging.SetLevel(logging.LevelNone)
 	engine := nbhttp.NewEngine(nbhttp.Config{})
@@ -23,17 +22,17 @@
 		t.Fatal(err)
 	}
 	defer engine.Stop()
-	conn := open(t, script)
+	conn := dialTarget(t, script)
 	client := &nbhttp.ClientConn{Engine: engine, Dial: func(string, string) (net.Conn, error) { return conn, nil }}
 	defer client.Close()
 	var bodies []string
 	for range 2 {
-		bodies = append(bodies, libraryAnswer(t, client))
+		bodies = append(bodies, clientExchange(t, client))
 	}
 	return bodies
 }
 
-func libraryAnswer(t *testing.T, client *nbhttp.ClientConn) string {
+func clientExchange(t *testing.T, client *nbhttp.ClientConn) string {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://127.0.0.1:1/stock", nil)
 	if err != nil {
@@ -55,30 +54,29 @@
 	return <-body
 }
 
-// A target answers "100 Continue" first, as HTTP allows. The library takes it
-// for the answer and gives the real one to the next caller.
-func TestLibraryTakesInformationalForFinal(t *testing.T) {
-	got := libraryAnswers(t, answers("HTTP/1.1 100 Continue\r\n\r\n", answerWith("one")))
+// The client takes "100 Continue" for the final response and delivers the real
+// one to the next request.
+func TestNbhttpClientTreatsInformationalAsFinal(t *testing.T) {
+	got := exchangeTwice(t, respondWith("HTTP/1.1 100 Continue\r\n\r\n", okResponse("one")))
 	if got[1] != "one" {
-		t.Fatalf("answers %q: the second caller no longer gets the first one's answer", got)
+		t.Fatalf("bodies %q: the second request no longer gets the first one's response", got)
 	}
 }
 
-// A target sends the beginning of a second answer with the first. The library
-// goes on using the connection and gives that answer to the next caller.
-func TestLibraryGivesStrayAnswerToTheNextCaller(t *testing.T) {
-	stray := answerWith("two")
-	got := libraryAnswers(t, answers(answerWith("one")+stray[:20], stray[20:]+answerWith("own")))
+// The client reuses a connection with a partial second response and delivers
+// that response to the next request.
+func TestNbhttpClientDeliversUnsolicitedResponse(t *testing.T) {
+	unsolicited := okResponse("two")
+	got := exchangeTwice(t, respondWith(okResponse("one")+unsolicited[:20], unsolicited[20:]+okResponse("own")))
 	if got[1] != "two" {
-		t.Fatalf("answers %q: the second caller no longer gets the stray answer", got)
+		t.Fatalf("bodies %q: the second request no longer gets the unsolicited response", got)
 	}
 }
 
-// A target's answer ends with the connection and is cut. The library passes
-// off an empty body as the whole answer.
-func TestLibraryPassesOffCutAnswer(t *testing.T) {
-	got := libraryAnswers(t, answers("HTTP/1.0 200 OK\r\n\r\n"))
+// The client accepts a truncated close-delimited response as complete.
+func TestNbhttpClientAcceptsTruncatedResponse(t *testing.T) {
+	got := exchangeTwice(t, respondWith("HTTP/1.0 200 OK\r\n\r\n"))
 	if got[0] != "" {
-		t.Fatalf("answers %q: a cut answer is no longer passed off as whole", got)
+		t.Fatalf("bodies %q: a truncated response is no longer accepted as complete", got)
 	}
 }
--- a/proxy/forward/script_test.go
+++ b/proxy/forward/script_test.go
@@ -18,13 +18,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// peer is the target's side of a connection.
-type peer struct {
+// scriptedTarget is the target's end of a connection.
+type scriptedTarget struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (p *peer) next() *http.Request {
+func (p *scriptedTarget) readRequest() *http.Request {
 	r, err := http.ReadRequest(p.reader)
 	if err != nil {
 		return nil
@@ -33,10 +33,10 @@
 	return r
 }
 
-func (p *peer) say(text string) { _, _ = io.WriteString(p.Conn, text) }
+func (p *scriptedTarget) write(text string) { _, _ = io.WriteString(p.Conn, text) }
 
-// open returns a connection to a target that follows the script, once.
-func open(t *testing.T, script func(p *peer)) net.Conn {
+// dialTarget connects to a target that runs the script on one connection.
+func dialTarget(t *testing.T, script func(p *scriptedTarget)) net.Conn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 			return
 		}
 		defer c.Close()
-		script(&peer{Conn: c, reader: bufio.NewReader(c)})
+		script(&scriptedTarget{Conn: c, reader: bufio.NewReader(c)})
 	})
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -63,36 +63,35 @@
 	return c
 }
 
-// connect returns a connection to a target that follows the script; it is
-// closed at the end of the test.
-func connect(t *testing.T, script func(p *peer)) *Conn {
+// newTestConn returns a Conn to a scripted target, closed by test cleanup.
+func newTestConn(t *testing.T, script func(p *scriptedTarget)) *Conn {
 	t.Helper()
-	c := NewConn(open(t, script))
+	c := NewConn(dialTarget(t, script))
 	t.Cleanup(c.Close)
 	return c
 }
 
-// answers returns a script that gives an answer to each request, and then reads
-// on until the connection ends.
-func answers(texts ...string) func(p *peer) {
-	return func(p *peer) {
+// respondWith returns a script that writes one text per request, then reads
+// another request or the end of the connection.
+func respondWith(texts ...string) func(p *scriptedTarget) {
+	return func(p *scriptedTarget) {
 		for _, text := range texts {
-			p.next()
-			p.say(text)
+			p.readRequest()
+			p.write(text)
 		}
-		p.next()
+		p.readRequest()
 	}
 }
 
-func get(path string) *Request {
+func newGet(path string) *Request {
 	return &Request{
 		Method: http.MethodGet, URI: path, Host: "target", Header: http.Header{},
 		Deadline: time.Now().Add(5 * time.Second), MaxResponseBytes: 1 << 20,
 	}
 }
 
-func post(body string) *Request {
-	r := get("/orders")
+func newPost(body string) *Request {
+	r := newGet("/orders")
 	r.Method = http.MethodPost
 	r.Body = [][]byte{[]byte(body)}
 	r.Length = int64(len(body))
@@ -107,7 +106,7 @@
 	}
 }
 
-func answerWith(body string) string {
+func okResponse(body string) string {
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
