--- a/proxy/ingress/body.go
+++ b/proxy/ingress/body.go
@@ -10,185 +10,190 @@
 )
 
 const (
-	// collectOverBytes is the length from which on a body of known length is
-	// collected here instead of by the parser, which would hold it twice.
-	collectOverBytes = 64 << 10
-	// pieceBytes is the length of a collected body's pieces.
-	pieceBytes = 64 << 10
-	// stallTime is how long the rest of a body may take once its request was
-	// handed over, beyond Reservation.Ahead.
-	stallTime = 2 * time.Second
+	// collectThresholdBytes is the length above which a body of known length is
+	// collected here rather than in the parser, which would buffer it twice.
+	collectThresholdBytes = 64 << 10
+	// bodyBufferBytes is the size of the buffers of a collected body.
+	bodyBufferBytes = 64 << 10
+	// stallTimeout bounds the wait for the rest of a body after its request was
+	// dispatched, in addition to Reservation.LeadTime.
+	stallTimeout = 2 * time.Second
 )
 
 // Errors of Body.At.
 var (
-	// ErrBodyStalled tells that the rest of a body did not come in time.
-	ErrBodyStalled = errors.New("ingress: the body's rest did not come in time")
-	// ErrBodyAborted tells that the body ended before it was whole: its caller has
-	// gone, or the request was answered.
-	ErrBodyAborted = errors.New("ingress: the body ended before it was whole")
+	// ErrBodyStalled reports that the rest of a body did not arrive in time.
+	ErrBodyStalled = errors.New("ingress: timed out waiting for the rest of the request body")
+	// ErrBodyAborted reports that the client closed the connection, or the
+	// request was answered, before the body was complete.
+	ErrBodyAborted = errors.New("ingress: request body aborted before it was complete")
 )
 
-// Body is a collected request body. Its request may be handed over before it is
-// whole. Every byte is kept until the request has ended, so that the request
-// can be sent again. It is safe for use by several goroutines.
+// Body is a request body collected in memory. Its request may be dispatched
+// before the body is complete. All bytes are kept until the request ends, so
+// that it can be sent again. Body is safe for concurrent use.
 type Body struct {
-	length int64
-	began  time.Time
-
-	mu      sync.Mutex
-	pieces  [][]byte
-	arrived int64
-	// wholeAt is when the last byte came, stallAt when At gives up.
-	wholeAt, stallAt time.Time
-	// more is closed when bytes come or the body ends, while somebody waits.
-	more chan struct{}
-	// ended tells that bytes that come are dropped.
-	ended bool
-	// next is where Read goes on.
-	next int64
-}
-
-func newBody(length int64) *Body { return &Body{length: length, began: time.Now()} }
-
-// add takes the body's bytes from the front of data and returns how many.
-func (b *Body) add(data []byte) int {
+	length    int64
+	startedAt time.Time
+
+	mu       sync.Mutex
+	buffers  [][]byte
+	received int64
+	// completedAt is when the last byte arrived; At gives up at stallDeadline.
+	completedAt, stallDeadline time.Time
+	// changed is closed when bytes arrive or the body is aborted; nil without
+	// waiters.
+	changed chan struct{}
+	// aborted makes write discard further bytes.
+	aborted bool
+	// readOffset is the position of Read.
+	readOffset int64
+}
+
+func newBody(length int64) *Body { return &Body{length: length, startedAt: time.Now()} }
+
+// write consumes the body's bytes at the front of data and returns their
+// number.
+func (b *Body) write(data []byte) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	data = data[:min(int64(len(data)), b.length-b.arrived)]
-	if b.ended {
+	data = data[:min(int64(len(data)), b.length-b.received)]
+	if b.aborted {
 		return len(data)
 	}
 	for left := data; len(left) > 0; {
-		left = left[b.addToLast(left):]
+		left = left[b.appendBuffer(left):]
 	}
-	if b.arrived == b.length {
-		b.wholeAt = time.Now()
+	if b.received == b.length {
+		b.completedAt = time.Now()
 	}
-	b.wake()
+	b.notifyLocked()
 	return len(data)
 }
 
-// addToLast fills the last piece, or a new one, and returns how many bytes it
-// took. Readers hold slices of what was there before, which stays as it is.
-func (b *Body) addToLast(data []byte) int {
-	last := len(b.pieces) - 1
-	if last < 0 || len(b.pieces[last]) == cap(b.pieces[last]) {
-		b.pieces = append(b.pieces, make([]byte, 0, min(pieceBytes, b.length-b.arrived)))
+// appendBuffer copies data to the last buffer, or to a new one, and returns the
+// number of bytes copied. Bytes that readers may hold are never modified.
+func (b *Body) appendBuffer(data []byte) int {
+	last := len(b.buffers) - 1
+	if last < 0 || len(b.buffers[last]) == cap(b.buffers[last]) {
+		b.buffers = append(b.buffers, make([]byte, 0, min(bodyBufferBytes, b.length-b.received)))
 		last++
 	}
-	piece := b.pieces[last]
-	n := min(len(data), cap(piece)-len(piece))
-	b.pieces[last] = append(piece, data[:n]...)
-	b.arrived += int64(n)
+	buf := b.buffers[last]
+	n := min(len(data), cap(buf)-len(buf))
+	b.buffers[last] = append(buf, data[:n]...)
+	b.received += int64(n)
 	return n
 }
 
-// due reports whether the request is to be handed over: the body is whole, or
-// half of it has come and the rest will within ahead at the same rate.
-func (b *Body) due(ahead time.Duration) bool {
+// readyForDispatch reports whether the request should be dispatched: the body
+// is complete, or at least half of it has arrived and the rest is expected
+// within leadTime at the same rate.
+func (b *Body) readyForDispatch(leadTime time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	rest := b.length - b.arrived
+	rest := b.length - b.received
 	if rest == 0 {
 		return true
 	}
-	if rest > b.arrived || b.ended {
+	if rest > b.received || b.aborted {
 		return false
 	}
-	restTime := time.Since(b.began).Seconds() * float64(rest) / float64(b.arrived)
-	return restTime <= ahead.Seconds()
+	restTime := time.Since(b.startedAt).Seconds() * float64(rest) / float64(b.received)
+	return restTime <= leadTime.Seconds()
 }
 
-// limit bounds how long At waits for the rest.
-func (b *Body) limit(until time.Time) {
+// setStallDeadline sets when At stops waiting for the rest.
+func (b *Body) setStallDeadline(deadline time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stallAt = until
+	b.stallDeadline = deadline
 }
 
-// end drops what comes from now on and reports whether the body was whole.
-func (b *Body) end() (whole bool) {
+// abort discards the rest of the body and reports whether the body was
+// complete.
+func (b *Body) abort() (complete bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.arrived == b.length {
+	if b.received == b.length {
 		return true
 	}
-	b.ended = true
-	b.pieces = nil
-	b.wake()
+	b.aborted = true
+	b.buffers = nil
+	b.notifyLocked()
 	return false
 }
 
-// hasEnded reports whether the body ended before it was whole.
-func (b *Body) hasEnded() bool {
+// isAborted reports whether the body was aborted before it was complete.
+func (b *Body) isAborted() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.ended
+	return b.aborted
 }
 
-// wake is called with the lock held.
-func (b *Body) wake() {
-	if b.more != nil {
-		close(b.more)
-		b.more = nil
+// notifyLocked wakes all waiters. The caller holds mu.
+func (b *Body) notifyLocked() {
+	if b.changed != nil {
+		close(b.changed)
+		b.changed = nil
 	}
 }
 
-// Buffers returns the whole body, or false if it is not whole yet.
+// Buffers returns the buffers and whether the body is complete.
 func (b *Body) Buffers() ([][]byte, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.pieces, b.arrived == b.length
+	return b.buffers, b.received == b.length
 }
 
-// CompletedAt returns when the last byte came, or false if the body is not whole.
+// CompletedAt returns when the last byte arrived, and whether it has.
 func (b *Body) CompletedAt() (time.Time, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.wholeAt, b.arrived == b.length
+	return b.completedAt, b.received == b.length
 }
 
-// At returns bytes of the body from an offset on, which are only to be read,
-// and waits for the first of them. Errors: io.EOF after the last byte,
-// ErrStalled, ErrEnded, or the context's.
+// At returns the bytes available from an offset, which the caller must not
+// modify, and blocks until there is at least one. It returns io.EOF after the
+// last byte, ErrBodyStalled, ErrBodyAborted or the context's error.
 func (b *Body) At(ctx context.Context, offset int64) ([]byte, error) {
 	for {
-		data, more, err := b.from(offset)
+		data, changed, err := b.availableFrom(offset)
 		if err != nil || len(data) > 0 {
 			return data, err
 		}
-		if err := b.wait(ctx, more); err != nil {
+		if err := b.wait(ctx, changed); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// from returns what is there from an offset on, or what tells of more.
-func (b *Body) from(offset int64) (data []byte, more <-chan struct{}, err error) {
+// availableFrom returns the bytes available from an offset, or a channel that
+// is closed when the state changes.
+func (b *Body) availableFrom(offset int64) (data []byte, changed <-chan struct{}, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case b.ended:
+	case b.aborted:
 		return nil, nil, ErrBodyAborted
 	case offset >= b.length:
 		return nil, nil, io.EOF
-	case offset < b.arrived:
-		return b.pieces[offset/pieceBytes][offset%pieceBytes:], nil, nil
+	case offset < b.received:
+		return b.buffers[offset/bodyBufferBytes][offset%bodyBufferBytes:], nil, nil
 	}
-	if b.more == nil {
-		b.more = make(chan struct{})
+	if b.changed == nil {
+		b.changed = make(chan struct{})
 	}
-	return nil, b.more, nil
+	return nil, b.changed, nil
 }
 
-func (b *Body) wait(ctx context.Context, more <-chan struct{}) error {
+func (b *Body) wait(ctx context.Context, changed <-chan struct{}) error {
 	b.mu.Lock()
-	stall := time.NewTimer(time.Until(b.stallAt))
+	stall := time.NewTimer(time.Until(b.stallDeadline))
 	b.mu.Unlock()
 	defer stall.Stop()
 	select {
-	case <-more:
+	case <-changed:
 		return nil
 	case <-stall.C:
 		return ErrBodyStalled
@@ -197,28 +202,28 @@
 	}
 }
 
-// Read implements io.Reader for one goroutine.
+// Read implements io.Reader. It must not be called concurrently.
 func (b *Body) Read(p []byte) (int, error) {
-	data, err := b.At(context.Background(), b.next)
+	data, err := b.At(context.Background(), b.readOffset)
 	n := copy(p, data)
-	b.next += int64(n)
+	b.readOffset += int64(n)
 	return n, err
 }
 
-// Close implements io.Closer. What is left is the server's to drop.
+// Close implements io.Closer. The server discards unread bytes.
 func (b *Body) Close() error { return nil }
 
-// taken is what belongs to one request from its first byte on.
-type taken struct {
-	// began is when the request's first line was there.
-	began       time.Time
+// requestState belongs to one request, from its first byte.
+type requestState struct {
+	// startedAt is when the request line was received.
+	startedAt   time.Time
 	reservation Reservation
-	// body is set if it is collected outside of the parser.
+	// body is set if it is collected outside the parser.
 	body *Body
 }
 
-func (t taken) release() {
-	if t.reservation.Release != nil {
-		t.reservation.Release()
+func (s requestState) release() {
+	if s.reservation.Release != nil {
+		s.reservation.Release()
 	}
 }
--- a/proxy/ingress/close_test.go
+++ b/proxy/ingress/close_test.go
@@ -11,16 +11,13 @@
 	"time"
 )
 
-// Callers that send half a head and give up just when the server does make it
-// close their connections while the poller holds an event for them. Other
-// callers open a connection for each request. Without the barrier of
-// httpserver/handover, one in 350 to 1,000 of them lost its connection: the pending event
-// was taken for one of the connection that got the descriptor.
-func TestTimeOutsCloseNoOtherConnection(t *testing.T) {
-	const idlers, callers, connections = 64, 16, 400
-	const headTime = 2 * time.Millisecond
+// A pending poller event of a connection that timed out must not be applied to
+// a new connection that reuses its file descriptor.
+func TestTimeoutsDoNotCloseOtherConnections(t *testing.T) {
+	const slowClients, clients, connections = 64, 16, 400
+	const headerTimeout = 2 * time.Millisecond
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "whole") })
-	s, err := Start(Options{Address: "127.0.0.1:0", Handler: handler, MaxBodyBytes: 1024, HeaderTimeout: headTime})
+	s, err := Start(Options{Address: "127.0.0.1:0", Handler: handler, MaxBodyBytes: 1024, HeaderTimeout: headerTimeout})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +25,7 @@
 	var done atomic.Bool
 	var slow, all sync.WaitGroup
 	var timeouts atomic.Int64
-	for i := range idlers {
+	for i := range slowClients {
 		slow.Go(func() {
 			for n := 0; !done.Load(); n++ {
 				c, err := net.Dial("tcp", s.Address())
@@ -36,20 +33,20 @@
 					return
 				}
 				_, _ = io.WriteString(c, "GET")
-				time.Sleep(headTime - 100*time.Microsecond + time.Duration((i*37+n*11)%200)*time.Microsecond)
+				time.Sleep(headerTimeout - 100*time.Microsecond + time.Duration((i*37+n*11)%200)*time.Microsecond)
 				c.Close()
 				timeouts.Add(1)
 			}
 		})
 	}
-	var lost atomic.Int64
-	for range callers {
+	var failed atomic.Int64
+	for range clients {
 		all.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for range connections {
 				resp, err := client.Get("http://" + s.Address() + "/")
 				if err != nil {
-					lost.Add(1)
+					failed.Add(1)
 					continue
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
@@ -60,7 +57,7 @@
 	all.Wait()
 	done.Store(true)
 	slow.Wait()
-	if lost.Load() > 0 || timeouts.Load() < connections {
-		t.Errorf("%d of %d connections lost beside %d time-outs", lost.Load(), callers*connections, timeouts.Load())
+	if failed.Load() > 0 || timeouts.Load() < connections {
+		t.Errorf("%d of %d connections failed, with %d timeouts", failed.Load(), clients*connections, timeouts.Load())
 	}
 }
--- a/proxy/ingress/connection.go
+++ b/proxy/ingress/connection.go
@@ -12,94 +12,93 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// connection is one caller's connection.
+// connection is a client connection.
 type connection struct {
 	*nbio.Conn
 	server *Server
 	parser *nbhttp.Parser
-	// reading guards the processor: the engine reads on one goroutine and
+	// parseMu guards the processor: the engine reads on one goroutine and
 	// cleans up after a close on another.
-	reading   sync.Mutex
+	parseMu   sync.Mutex
 	processor *processor
-	// timed tells that a read deadline for the message under way is set.
-	timed bool
+	// deadlineSet is true while the incoming message has a read deadline.
+	deadlineSet bool
 
 	mu sync.Mutex
-	// handed and taken count answer bytes given to the engine and taken by the
-	// system; idle is closed when they are equal while somebody waits.
-	handed, taken int64
-	idle          chan struct{}
-	closed        bool
-	watchers      map[int]func()
-	nextWatcher   int
-	// handedOver belongs to requests handed over, in their order.
-	handedOver []taken
-	// coming is the body that is being collected.
-	coming *Body
+	// bytesQueued counts response bytes passed to the engine, bytesWritten
+	// those accepted by the kernel; flushed is closed when they are equal, nil
+	// without waiters.
+	bytesQueued, bytesWritten int64
+	flushed                   chan struct{}
+	closed                    bool
+	watchers                  map[int]func()
+	nextWatcher               int
+	// dispatched holds the state of dispatched requests, in order.
+	dispatched []requestState
+	// incoming is the body being collected.
+	incoming *Body
 }
 
 func newConnection(s *Server, nbc *nbio.Conn) *connection {
 	c := &connection{Conn: nbc, server: s}
-	c.processor = &processor{Processor: nbhttp.NewServerProcessor(), conn: c, header: make(http.Header)}
-	c.renewParser()
+	c.processor = &processor{Processor: nbhttp.NewServerProcessor(), conn: c, admissionHeader: make(http.Header)}
+	c.resetParser()
 	return c
 }
 
-// renewParser makes a parser that awaits a request.
-func (c *connection) renewParser() {
+// resetParser installs a parser that expects a new request.
+func (c *connection) resetParser() {
 	c.parser = nbhttp.NewParser(c, c.server.engine, c.processor, false, c.Conn.Execute)
 }
 
-// Write counts answer bytes. nbio keeps in memory what the system does not
-// take at once.
+// Write counts response bytes; nbio buffers what the kernel does not accept.
 func (c *connection) Write(b []byte) (int, error) {
 	c.mu.Lock()
-	c.handed += int64(len(b))
+	c.bytesQueued += int64(len(b))
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-// onData parses what came. It runs on the engine's reading goroutine.
+// onData parses received bytes on the engine's reading goroutine.
 func (c *connection) onData(data []byte) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
-	// The rest of a refused request is read and dropped: to close with unread
-	// bytes would reset the connection and could take the refusal with it.
-	for len(data) > 0 && !c.processor.refused {
-		data = c.step(data)
+	c.parseMu.Lock()
+	defer c.parseMu.Unlock()
+	// The rest of a rejected request is discarded: closing with unread bytes
+	// would reset the connection and could lose the response.
+	for len(data) > 0 && !c.processor.rejected {
+		data = c.parseNext(data)
 	}
-	c.boundTime()
+	c.updateReadDeadline()
 }
 
-// step takes what comes next, at most the rest of a head or of a collected
-// body, and returns the other bytes.
-func (c *connection) step(data []byte) []byte {
+// parseNext consumes at most the rest of a header or of a collected body, and
+// returns the remaining bytes.
+func (c *connection) parseNext(data []byte) []byte {
 	p := c.processor
-	if c.coming != nil {
+	if c.incoming != nil {
 		return p.collect(data)
 	}
 	var rest []byte
-	p.cut = false
+	p.splitAtBlankLine = false
 	if !p.inBody {
-		data, rest, p.cut = cutAtBlankLine(data)
+		data, rest, p.splitAtBlankLine = splitAfterBlankLine(data)
 	}
 	p.count(len(data))
 	if err := c.parser.Parse(data); err != nil {
-		p.refuse(result.BadRequest)
+		p.reject(result.BadRequest)
 	}
-	if p.headTooLong() {
-		p.refuse(result.BadRequest)
+	if p.headerTooLarge() {
+		p.reject(result.BadRequest)
 	}
-	if p.bodyTooLong() {
-		p.refuse(result.RequestTooLarge)
+	if p.bodyTooLarge() {
+		p.reject(result.RequestTooLarge)
 	}
 	return rest
 }
 
-// cutAtBlankLine returns the bytes up to the end of the first line without
-// content, and the others, or all if there is no such line. The parser takes a
-// head to end nowhere else.
-func cutAtBlankLine(data []byte) (upTo, rest []byte, found bool) {
+// splitAfterBlankLine splits data after the first blank line, which is where
+// the parser ends a header.
+func splitAfterBlankLine(data []byte) (head, rest []byte, found bool) {
 	for start := 0; ; {
 		n := bytes.IndexByte(data[start:], '\n')
 		if n < 0 {
@@ -113,7 +112,7 @@
 	}
 }
 
-// isBlank reports whether a line has nothing but blanks before its end.
+// isBlank reports whether a line holds only spaces before its end.
 func isBlank(line []byte) bool {
 	for _, c := range line {
 		if c != ' ' && c != '\r' && c != '\n' {
@@ -123,75 +122,76 @@
 	return true
 }
 
-// clean frees what the parser holds after the connection has closed.
-func (c *connection) clean(err error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+// closeParser frees the parser's memory after the connection was closed.
+func (c *connection) closeParser(err error) {
+	c.parseMu.Lock()
+	defer c.parseMu.Unlock()
 	c.parser.CloseAndClean(err)
 }
 
-// boundTime sets a deadline for a message that has begun and is not whole yet.
-func (c *connection) boundTime() {
+// updateReadDeadline sets a read deadline for an incomplete message.
+func (c *connection) updateReadDeadline() {
 	p := c.processor
-	if p.refused || !p.underWay() {
-		c.timed = false
+	if p.rejected || !p.isReceiving() {
+		c.deadlineSet = false
 		return
 	}
-	if c.timed {
+	if c.deadlineSet {
 		return
 	}
-	c.timed = true
-	_ = c.SetReadDeadline(time.Now().Add(p.timeLeft()))
+	c.deadlineSet = true
+	_ = c.SetReadDeadline(time.Now().Add(p.readTimeout()))
 }
 
-// gone tells the watchers that the caller has closed the connection.
-func (c *connection) gone() {
+// onClose notifies the watchers that the connection was closed.
+func (c *connection) onClose() {
 	c.mu.Lock()
 	c.closed = true
 	watchers := c.watchers
 	c.watchers = nil
-	coming := c.coming
-	c.wakeIdle()
+	body := c.incoming
+	c.notifyFlushedLocked()
 	c.mu.Unlock()
-	for _, tell := range watchers {
-		tell()
+	for _, notify := range watchers {
+		notify()
 	}
-	// After the watchers: the handler sees a caller that has gone, not a body
-	// that fails.
-	if coming != nil {
-		coming.end()
+	// Abort after the watchers ran, so that the handler sees a closed client
+	// connection rather than a body error.
+	if body != nil {
+		body.abort()
 	}
 }
 
-// setComing tells which body is being collected, nil for none.
-func (c *connection) setComing(b *Body) {
+// setIncoming sets the body being collected, nil for none.
+func (c *connection) setIncoming(b *Body) {
 	c.mu.Lock()
 	closed := c.closed
-	c.coming = b
+	c.incoming = b
 	c.mu.Unlock()
 	if closed && b != nil {
-		b.end()
+		b.abort()
 	}
 }
 
-// linger closes the connection after its last answer, not at once, so that
-// the bytes still under way from the caller do not reset it.
-func (c *connection) linger() {
-	c.Execute(func() { _ = c.SetReadDeadline(time.Now().Add(lingerTime)) })
+// closeAfterLinger closes the connection after lingerTimeout, so that bytes in
+// flight do not reset it before the client reads the response.
+func (c *connection) closeAfterLinger() {
+	c.Execute(func() { _ = c.SetReadDeadline(time.Now().Add(lingerTimeout)) })
 }
 
-func (c *connection) hasClosed() bool {
+func (c *connection) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
 }
 
-// watch calls tell when the connection has closed, at once if it has already.
-func (c *connection) watch(tell func()) (stop func()) {
+// watchClose calls notify once the connection is closed, at once if it already
+// is.
+func (c *connection) watchClose(notify func()) (stop func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		go tell()
+		go notify()
 		return func() {}
 	}
 	if c.watchers == nil {
@@ -199,7 +199,7 @@
 	}
 	id := c.nextWatcher
 	c.nextWatcher++
-	c.watchers[id] = tell
+	c.watchers[id] = notify
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -207,66 +207,67 @@
 	}
 }
 
-func (c *connection) wrote(n int) {
+func (c *connection) onWritten(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.taken += int64(n)
-	if c.taken >= c.handed {
-		c.wakeIdle()
+	c.bytesWritten += int64(n)
+	if c.bytesWritten >= c.bytesQueued {
+		c.notifyFlushedLocked()
 	}
 }
 
-// wakeIdle is called with the lock held.
-func (c *connection) wakeIdle() {
-	if c.idle != nil {
-		close(c.idle)
-		c.idle = nil
+// notifyFlushedLocked wakes the waiters of waitFlushed. The caller holds mu.
+func (c *connection) notifyFlushedLocked() {
+	if c.flushed != nil {
+		close(c.flushed)
+		c.flushed = nil
 	}
 }
 
-// waitTaken returns when the system has taken all answer bytes or the
-// connection has closed; a caller that does not read for AnswerTime is closed.
-func (c *connection) waitTaken() {
+// waitFlushed blocks until the kernel has accepted all response bytes or the
+// connection is closed. A client that does not read is disconnected after
+// WriteTimeout.
+func (c *connection) waitFlushed() {
 	c.mu.Lock()
-	if c.closed || c.taken >= c.handed {
+	if c.closed || c.bytesWritten >= c.bytesQueued {
 		c.mu.Unlock()
 		return
 	}
-	if c.idle == nil {
-		c.idle = make(chan struct{})
+	if c.flushed == nil {
+		c.flushed = make(chan struct{})
 	}
-	idle := c.idle
+	flushed := c.flushed
 	c.mu.Unlock()
 	_ = c.SetWriteDeadline(time.Now().Add(c.server.options.WriteTimeout))
-	<-idle
+	<-flushed
 	_ = c.SetWriteDeadline(time.Time{})
 }
 
-func (c *connection) putTaken(t taken) {
+func (c *connection) pushDispatched(s requestState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handedOver = append(c.handedOver, t)
+	c.dispatched = append(c.dispatched, s)
 }
 
-// nextTaken returns what belongs to the request handed over next.
-func (c *connection) nextTaken() taken {
+// popDispatched returns the state of the oldest dispatched request.
+func (c *connection) popDispatched() requestState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.handedOver) == 0 {
-		return taken{}
+	if len(c.dispatched) == 0 {
+		return requestState{}
 	}
-	t := c.handedOver[0]
-	// A caller seldom sends ahead, so that nearly always one is moved to none,
-	// and the list keeps its memory.
-	c.handedOver = append(c.handedOver[:0], c.handedOver[1:]...)
+	t := c.dispatched[0]
+	// Shifting reuses the slice; clients rarely pipeline requests.
+	c.dispatched = append(c.dispatched[:0], c.dispatched[1:]...)
 	return t
 }
 
-// dropTaken frees the reservations of requests that no handler will see.
-func (c *connection) dropTaken() {
+// releaseDispatched releases the reservations of requests that no handler will
+// see.
+func (c *connection) releaseDispatched() {
 	c.mu.Lock()
-	unseen := c.handedOver
-	c.handedOver = nil
+	unseen := c.dispatched
+	c.dispatched = nil
 	c.mu.Unlock()
 	for _, t := range unseen {
 		t.release()
--- a/proxy/ingress/doc.go
+++ b/proxy/ingress/doc.go
@@ -1,8 +1,8 @@
-// Package ingress is the server side towards callers, on nbio's nbhttp engine.
-// nbhttp hands a request over once its body is whole, waits without a bound
-// for callers that read slowly, answers malformed input by closing, and does
-// not tell a handler that its caller has gone. This package adds what is
-// missing: bodies are admitted by their head and bounded in sum, an answer
-// counts as given when the system has taken its last byte, bad input gets a
-// numbered result, and a handler learns when its caller goes.
+// Package ingress is the HTTP server for client connections, on nbio's nbhttp
+// engine. nbhttp dispatches a request once its body is complete, has no write
+// timeout for slow readers, closes the connection on malformed input, and does
+// not notify a handler of a closed client connection. This package adds
+// admission of bodies by their header with a bound on total memory, completion
+// of a response when the kernel has accepted its last byte, result codes for
+// bad input, and close notification for handlers.
 package ingress
--- a/proxy/ingress/fuzz_test.go
+++ b/proxy/ingress/fuzz_test.go
@@ -10,9 +10,9 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// FuzzCaller feeds a caller's bytes to the server. Whatever comes, the server
-// goes on, every answer is a whole one, and all reserved memory comes back.
-func FuzzCaller(f *testing.F) {
+// FuzzRequest sends arbitrary bytes to the server. Every response must be
+// complete, and all reserved memory must be released.
+func FuzzRequest(f *testing.F) {
 	for _, text := range []string{
 		"GET / HTTP/1.1\r\n\r\n",
 		"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\n\r\n",
@@ -30,7 +30,7 @@
 		f.Add([]byte(text))
 	}
 	const memory = 1 << 20
-	bodies := &bounded{limit: 1000}
+	bodies := &limitedAdmitter{limit: 1000}
 	bodies.free.Store(memory)
 	s, err := Start(Options{Address: "127.0.0.1:0", Handler: http.HandlerFunc(echo), BodyAdmitter: bodies})
 	if err != nil {
@@ -53,7 +53,7 @@
 				break
 			}
 			if _, err := io.ReadAll(resp.Body); err != nil && resp.StatusCode != http.StatusContinue {
-				t.Fatalf("answer %v: %v", resp.Header, err)
+				t.Fatalf("response %v: %v", resp.Header, err)
 			}
 			if got := resp.Header.Get(result.HeaderOutcome); got != "" && got != "not-run" {
 				t.Fatalf("outcome %s", got)
--- a/proxy/ingress/handover_test.go
+++ b/proxy/ingress/handover_test.go
@@ -11,16 +11,11 @@
 	"testing"
 )
 
-// Callers open a connection for each request. One of them gets no answer, and
-// its request was never read: its connection was closed in place of an earlier
-// one that had the same descriptor.
-//
-// A caller opens a connection and its request is served at once. The library
-// hands the connection from the goroutine that accepts to the one that reads
-// through the kernel only, so that the race detector, and the memory model,
-// see the caller's address read without order after it was written.
-func TestConnectionIsHandedOverInOrder(t *testing.T) {
-	const callers, connections = 8, 1000
+// With one connection per request, no connection may be closed in place of an
+// earlier one with the same file descriptor, and its setup must not race with
+// the reading goroutine.
+func TestNewConnectionHasNoDataRace(t *testing.T) {
+	const clients, connections = 8, 1000
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.RemoteAddr) })
 	s, err := Start(Options{Address: "127.0.0.1:0", Handler: handler, MaxBodyBytes: 1024})
 	if err != nil {
@@ -28,7 +23,7 @@
 	}
 	defer s.Stop(context.Background())
 	var all sync.WaitGroup
-	for range callers {
+	for range clients {
 		all.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for range connections {
@@ -45,52 +40,50 @@
 	all.Wait()
 }
 
-// A caller connects as soon as a server has started, and its connection is
-// closed without an answer. The server had probed its pollers with connections
-// of its own; the end of one was applied to the caller's, which had got the
-// same descriptor.
-func TestFirstCallerAfterTheStartIsServed(t *testing.T) {
-	// Many servers at once make the pollers late.
-	const servers, starts, callers = 24, 25, 4
-	var lost atomic.Int64
+// Connections opened right after the start must not be closed by pending events
+// of the server's own poller probes with the same file descriptors.
+func TestConnectionsRightAfterStartAreServed(t *testing.T) {
+	// Concurrent servers delay the pollers.
+	const servers, starts, clients = 24, 25, 4
+	var failed atomic.Int64
 	var all sync.WaitGroup
 	for range servers {
 		all.Go(func() {
 			for range starts {
-				lost.Add(lostAfterStart(t, callers))
+				failed.Add(countFailuresAfterStart(t, clients))
 			}
 		})
 	}
 	all.Wait()
-	if n := lost.Load(); n > 0 {
-		t.Fatalf("%d of %d callers got no answer", n, servers*starts*callers)
+	if n := failed.Load(); n > 0 {
+		t.Fatalf("%d of %d clients got no response", n, servers*starts*clients)
 	}
 }
 
-// lostAfterStart starts a server, lets callers connect at once and returns how
-// many got no answer.
-func lostAfterStart(t *testing.T, callers int) int64 {
+// countFailuresAfterStart connects clients to a new server and returns how many
+// got no response.
+func countFailuresAfterStart(t *testing.T, clients int) int64 {
 	s, err := Start(Options{Address: "127.0.0.1:0", Handler: http.HandlerFunc(echo)})
 	if err != nil {
 		t.Error(err)
 		return 0
 	}
 	defer s.Stop(context.Background())
-	var lost atomic.Int64
+	var failed atomic.Int64
 	var all sync.WaitGroup
-	for range callers {
+	for range clients {
 		all.Go(func() {
-			if !answered(s.Address()) {
-				lost.Add(1)
+			if !isServed(s.Address()) {
+				failed.Add(1)
 			}
 		})
 	}
 	all.Wait()
-	return lost.Load()
+	return failed.Load()
 }
 
-// answered tells whether a request over a new connection gets its answer.
-func answered(address string) bool {
+// isServed reports whether a request on a new connection is answered.
+func isServed(address string) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
--- a/proxy/ingress/options.go
+++ b/proxy/ingress/options.go
@@ -18,66 +18,66 @@
 	DefaultIdleTimeout    = 2 * time.Minute
 )
 
-// BodyAdmitter decides, when the head of a request is there, whether its body may
-// come.
+// BodyAdmitter decides, once a request header is complete, whether to accept
+// the body.
 type BodyAdmitter interface {
-	// ReserveBody reserves memory for a body of length bytes, -1 if that is
-	// not known. The header holds the fields whose names begin with "Yucca-",
-	// Idempotency-Key, Expect and Transfer-Encoding; it must not be kept. A code
-	// other than result.OK refuses the request.
+	// ReserveBody reserves memory for a body of length bytes, -1 if unknown.
+	// The header holds the fields whose names begin with "Yucca-",
+	// Idempotency-Key, Expect and Transfer-Encoding; it must not be retained. A
+	// code other than result.OK rejects the request.
 	ReserveBody(h http.Header, length int64) (Reservation, result.Code)
 }
 
 // Reservation is memory reserved for one body.
 type Reservation struct {
-	// Timeout bounds how long the body may take to come, 0 for Options.BodyTime.
+	// Timeout bounds the time to receive the body; 0 means Options.BodyTimeout.
 	Timeout time.Duration
-	// MaxBytes bounds the body in bytes, 0 for Options.MaxBodyBytes.
+	// MaxBytes bounds the size of the body; 0 means Options.MaxBodyBytes.
 	MaxBytes int64
-	// LeadTime is how long before the last byte of a large body is expected its
-	// request is handed over, 0 for not before; see Body. A body of unknown
-	// length is never handed over before it is whole.
+	// LeadTime is how long before the expected arrival of the last byte a
+	// request with a large body is dispatched; 0 means after the body is
+	// complete. A body of unknown length is always complete before dispatch.
 	LeadTime time.Duration
-	// Release frees the memory; it is called once. It may be nil.
+	// Release frees the memory. It is called once and may be nil.
 	Release func()
 }
 
-// Options configure a Server. Zero values take the defaults.
+// Options configures a Server. Zero values select the defaults.
 type Options struct {
-	// Address is ip:port; port 0 takes a free one.
+	// Address is ip:port; port 0 selects a free port.
 	Address string
 	Handler http.Handler
-	// BodyAdmitter may be nil; then only MaxBodyBytes bounds a body.
+	// BodyAdmitter may be nil; then only MaxBodyBytes limits a body.
 	BodyAdmitter BodyAdmitter
-	// MaxHeaderBytes bounds request line and fields, MaxBodyBytes one body.
+	// MaxHeaderBytes limits the request line and header, MaxBodyBytes one body.
 	MaxHeaderBytes int
 	MaxBodyBytes   int
-	// MaxConnections bounds callers' connections.
+	// MaxConnections limits client connections.
 	MaxConnections int
-	// HeaderTimeout and BodyTimeout bound how long a head and a body may take to come,
-	// WriteTimeout how long a caller may take to read an answer. IdleTimeout is how
-	// long a connection may wait for its next request.
+	// HeaderTimeout and BodyTimeout bound receiving a header and a body,
+	// WriteTimeout how long a client may take to read a response, IdleTimeout
+	// the wait for the next request.
 	HeaderTimeout, BodyTimeout, WriteTimeout, IdleTimeout time.Duration
 }
 
 func (o *Options) setDefaults() {
-	setInt(&o.MaxHeaderBytes, DefaultMaxHeaderBytes)
-	setInt(&o.MaxBodyBytes, DefaultMaxBodyBytes)
-	setInt(&o.MaxConnections, DefaultMaxConnections)
-	setTime(&o.HeaderTimeout, DefaultHeaderTimeout)
-	setTime(&o.BodyTimeout, DefaultBodyTimeout)
-	setTime(&o.WriteTimeout, DefaultWriteTimeout)
-	setTime(&o.IdleTimeout, DefaultIdleTimeout)
+	defaultInt(&o.MaxHeaderBytes, DefaultMaxHeaderBytes)
+	defaultInt(&o.MaxBodyBytes, DefaultMaxBodyBytes)
+	defaultInt(&o.MaxConnections, DefaultMaxConnections)
+	defaultDuration(&o.HeaderTimeout, DefaultHeaderTimeout)
+	defaultDuration(&o.BodyTimeout, DefaultBodyTimeout)
+	defaultDuration(&o.WriteTimeout, DefaultWriteTimeout)
+	defaultDuration(&o.IdleTimeout, DefaultIdleTimeout)
 }
 
-func setInt(v *int, standard int) {
+func defaultInt(v *int, def int) {
 	if *v <= 0 {
-		*v = standard
+		*v = def
 	}
 }
 
-func setTime(v *time.Duration, standard time.Duration) {
+func defaultDuration(v *time.Duration, def time.Duration) {
 	if *v <= 0 {
-		*v = standard
+		*v = def
 	}
 }
--- a/proxy/ingress/processor.go
+++ b/proxy/ingress/processor.go
@@ -12,64 +12,66 @@
 	"github.com/yuccaroute/yuccaroute/api/result"
 )
 
-// lingerTime is how long a refused caller may go on sending.
-const lingerTime = 500 * time.Millisecond
+// lingerTimeout bounds how long the connection stays open after its last
+// response.
+const lingerTimeout = 500 * time.Millisecond
 
-// framing is how many times the body the chunks may be on the wire.
-const framing = 2
+// maxChunkedOverhead bounds the size of a chunked body on the wire, as a
+// multiple of the body limit.
+const maxChunkedOverhead = 2
 
-// errProtocol tells that the request is not HTTP/1.
 var errProtocol = errors.New("ingress: not HTTP/1")
 
-// processor follows the parser through one request after the other. It runs on
-// the connection's reading goroutine.
+// processor handles the parser's events for successive requests, on the
+// connection's reading goroutine.
 type processor struct {
 	nbhttp.Processor
 	conn *connection
-	// size counts the bytes since the last whole request.
-	size int
-	// header holds the fields of the request under way that decide on its body.
-	header   http.Header
-	inBody   bool
-	chunked  bool
-	reserved taken
-	// cut tells that a head that ends in the bytes given to the parser ends with
-	// them.
-	cut bool
-	// handedOver tells that the request was handed over before its body was
-	// whole.
-	handedOver bool
-	// bodyBytes counts the body's bytes that were handed over.
+	// receivedBytes counts the bytes since the last complete request.
+	receivedBytes int
+	// admissionHeader holds the fields that decide on the body of this request.
+	admissionHeader http.Header
+	inBody          bool
+	chunked         bool
+	current         requestState
+	// splitAtBlankLine is set if the bytes given to the parser end after a
+	// blank line, so that a header that ends in them has no body bytes behind
+	// it.
+	splitAtBlankLine bool
+	// dispatchedEarly is set if the request was dispatched before its body was
+	// complete.
+	dispatchedEarly bool
+	// bodyBytes counts the body bytes passed on by the parser.
 	bodyBytes int64
-	// refused tells that the caller got its last answer on this connection.
-	refused bool
+	// rejected is set after the last response on this connection.
+	rejected bool
 }
 
-func (p *processor) count(n int) { p.size += n }
+func (p *processor) count(n int) { p.receivedBytes += n }
 
-// headTooLong reports whether a head that is not whole yet is over its bound.
-func (p *processor) headTooLong() bool {
-	return !p.inBody && p.size > p.conn.server.options.MaxHeaderBytes
+// headerTooLarge reports whether an incomplete header exceeds its limit.
+func (p *processor) headerTooLarge() bool {
+	return !p.inBody && p.receivedBytes > p.conn.server.options.MaxHeaderBytes
 }
 
-// underWay reports whether a request has begun and is not handed over.
-func (p *processor) underWay() bool { return p.size > 0 && !p.handedOver }
+// isReceiving reports whether a request has begun and is not dispatched.
+func (p *processor) isReceiving() bool { return p.receivedBytes > 0 && !p.dispatchedEarly }
 
-// timeLeft bounds what the request under way still needs.
-func (p *processor) timeLeft() time.Duration {
+// readTimeout bounds the time for the rest of the request.
+func (p *processor) readTimeout() time.Duration {
 	if !p.inBody {
 		return p.conn.server.options.HeaderTimeout
 	}
-	if t := p.reserved.reservation.Timeout; t > 0 {
+	if t := p.current.reservation.Timeout; t > 0 {
 		return t
 	}
 	return p.conn.server.options.BodyTimeout
 }
 
-// OnMethod implements nbhttp.Processor: a new request begins.
+// OnMethod implements nbhttp.Processor. A new request begins.
 func (p *processor) OnMethod(parser *nbhttp.Parser, method string) {
-	p.forgetHeader()
-	p.reserved = taken{began: time.Now()}
+	p.resetAdmissionHeader()
+	p.current = requestState{startedAt: time.Now()}
 	p.bodyBytes = 0
 	p.Processor.OnMethod(parser, method)
 }
@@ -84,42 +86,39 @@
 
 // OnHeader implements nbhttp.Processor.
 func (p *processor) OnHeader(parser *nbhttp.Parser, key, value string) {
-	if decides(key) {
-		p.header[key] = append(p.header[key], value)
+	if isAdmissionField(key) {
+		p.admissionHeader[key] = append(p.admissionHeader[key], value)
 	}
 	p.Processor.OnHeader(parser, key, value)
 }
 
-// Bounds of what is kept of one request's fields for the next.
+// Limits on the admission fields whose memory is reused by the next request.
 const (
-	maxKeptFields    = 16
-	maxKeptNameBytes = 32
-	maxKeptValues    = 4
+	maxRetainedFields    = 16
+	maxRetainedNameBytes = 32
+	maxRetainedValues    = 4
 )
 
-// forgetHeader empties the fields of the last request and keeps their lists for
-// the next one, which mostly has the same.
-//
-// Guard against a caller that invents names, or sends long or many values, on
-// each of its connections: it shows as memory that no account's share covers.
-// The guard holds because no value is kept, and few, short names are.
-func (p *processor) forgetHeader() {
-	if len(p.header) > maxKeptFields {
-		p.header = make(http.Header)
+// resetAdmissionHeader clears the fields but keeps their slices, since
+// successive requests mostly have the same fields. The limits bound the memory
+// of a client that sends many, long or repeated names.
+func (p *processor) resetAdmissionHeader() {
+	if len(p.admissionHeader) > maxRetainedFields {
+		p.admissionHeader = make(http.Header)
 		return
 	}
-	for key, values := range p.header {
-		if len(key) > maxKeptNameBytes || cap(values) > maxKeptValues {
-			delete(p.header, key)
+	for key, values := range p.admissionHeader {
+		if len(key) > maxRetainedNameBytes || cap(values) > maxRetainedValues {
+			delete(p.admissionHeader, key)
 			continue
 		}
 		clear(values)
-		p.header[key] = values[:0]
+		p.admissionHeader[key] = values[:0]
 	}
 }
 
-// decides reports whether a field matters to whether the body may come.
-func decides(key string) bool {
+// isAdmissionField reports whether a field is needed to admit the body.
+func isAdmissionField(key string) bool {
 	switch key {
 	case "Expect", "Transfer-Encoding", result.HeaderKey:
 		return true
@@ -127,72 +126,72 @@
 	return strings.HasPrefix(key, "Yucca-")
 }
 
-// OnContentLength implements nbhttp.Processor: the head is whole. The body is
-// admitted or refused here, before its bytes take memory.
+// OnContentLength implements nbhttp.Processor. The header is complete; the body
+// is admitted or rejected before it takes memory.
 func (p *processor) OnContentLength(parser *nbhttp.Parser, length int) {
 	p.Processor.OnContentLength(parser, length)
 	p.inBody = true
-	p.chunked = len(p.header["Transfer-Encoding"]) > 0
+	p.chunked = len(p.admissionHeader["Transfer-Encoding"]) > 0
 	if length <= 0 && !p.chunked {
 		return
 	}
 	if length > p.conn.server.options.MaxBodyBytes {
-		p.refuse(result.RequestTooLarge)
+		p.reject(result.RequestTooLarge)
 		return
 	}
 	p.reserve(int64(length))
-	if length > collectOverBytes && !p.chunked && p.cut && !p.refused {
-		p.reserved.body = newBody(int64(length))
-		p.conn.setComing(p.reserved.body)
+	if length > collectThresholdBytes && !p.chunked && p.splitAtBlankLine && !p.rejected {
+		p.current.body = newBody(int64(length))
+		p.conn.setIncoming(p.current.body)
 	}
 }
 
-// collect takes the bytes of the body that is collected, hands the request over
-// when that is due, and returns the other bytes.
+// collect adds data to the collected body, dispatches the request when it is
+// ready, and returns the remaining bytes.
 func (p *processor) collect(data []byte) []byte {
-	b := p.conn.coming
-	n := b.add(data)
-	if b.hasEnded() {
-		// The request was answered, or the caller has gone, before this.
-		p.refused = true
+	b := p.conn.incoming
+	n := b.write(data)
+	if b.isAborted() {
+		// The request was answered or the client closed the connection.
+		p.rejected = true
 		return nil
 	}
-	if !p.handedOver && b.due(p.reserved.reservation.LeadTime) {
-		b.limit(time.Now().Add(p.reserved.reservation.LeadTime + stallTime))
-		p.handOver()
-		p.handedOver = true
+	if !p.dispatchedEarly && b.readyForDispatch(p.current.reservation.LeadTime) {
+		b.setStallDeadline(time.Now().Add(p.current.reservation.LeadTime + stallTimeout))
+		p.dispatch()
+		p.dispatchedEarly = true
 	}
-	if _, whole := b.CompletedAt(); !whole {
+	if _, complete := b.CompletedAt(); !complete {
 		return nil
 	}
-	// The parser still awaits the body; a new one awaits the next request.
-	p.conn.setComing(nil)
-	p.conn.renewParser()
-	p.handedOver = false
+	// The parser still expects the body; a new one expects the next request.
+	p.conn.setIncoming(nil)
+	p.conn.resetParser()
+	p.dispatchedEarly = false
 	p.inBody = false
-	p.size = 0
+	p.receivedBytes = 0
 	return data[n:]
 }
 
-// reserve asks for the memory; a length below 0 is not known.
+// reserve requests admission of the body; a negative length is unknown.
 func (p *processor) reserve(length int64) {
 	bodies := p.conn.server.options.BodyAdmitter
 	if bodies == nil {
-		p.invite()
+		p.sendContinue()
 		return
 	}
-	reservation, code := bodies.ReserveBody(p.header, length)
+	reservation, code := bodies.ReserveBody(p.admissionHeader, length)
 	if code != result.OK {
-		p.refuse(code)
+		p.reject(code)
 		return
 	}
-	p.reserved.reservation = reservation
-	p.invite()
+	p.current.reservation = reservation
+	p.sendContinue()
 }
 
-// invite answers callers that wait to be asked for the body; nbhttp does not.
-func (p *processor) invite() {
-	if !strings.EqualFold(p.header.Get("Expect"), "100-continue") {
+// sendContinue answers "Expect: 100-continue", which nbhttp does not.
+func (p *processor) sendContinue() {
+	if !strings.EqualFold(p.admissionHeader.Get("Expect"), "100-continue") {
 		return
 	}
 	c := p.conn
@@ -201,86 +200,86 @@
 
 // OnBody implements nbhttp.Processor.
 func (p *processor) OnBody(parser *nbhttp.Parser, data []byte) error {
-	if p.refused {
+	if p.rejected {
 		return nil
 	}
 	p.bodyBytes += int64(len(data))
 	if p.bodyBytes > p.bodyLimit() {
-		p.refuse(result.RequestTooLarge)
+		p.reject(result.RequestTooLarge)
 		return nil
 	}
 	return p.Processor.OnBody(parser, data)
 }
 
 func (p *processor) bodyLimit() int64 {
-	if limit := p.reserved.reservation.MaxBytes; limit > 0 {
+	if limit := p.current.reservation.MaxBytes; limit > 0 {
 		return limit
 	}
 	return int64(p.conn.server.options.MaxBodyBytes)
 }
 
-// bodyTooLong reports whether a body of unknown length is over its bound. The
-// parser holds a chunk until it is whole, so that its bytes are bounded here.
-func (p *processor) bodyTooLong() bool {
+// bodyTooLarge reports whether a chunked body exceeds its limit on the wire.
+// The parser buffers a whole chunk before OnBody sees it.
+func (p *processor) bodyTooLarge() bool {
 	head := int64(p.conn.server.options.MaxHeaderBytes)
-	return p.inBody && p.chunked && int64(p.size) > head+framing*p.bodyLimit()
+	return p.inBody && p.chunked && int64(p.receivedBytes) > head+maxChunkedOverhead*p.bodyLimit()
 }
 
-// OnComplete implements nbhttp.Processor: the request is handed over, unless
-// it was refused.
+// OnComplete implements nbhttp.Processor. It dispatches the request unless it
+// was rejected.
 func (p *processor) OnComplete(parser *nbhttp.Parser) {
-	if p.refused {
+	if p.rejected {
 		p.Processor.Clean(parser)
 		return
 	}
 	p.inBody = false
-	p.size = 0
-	p.handOver()
+	p.receivedBytes = 0
+	p.dispatch()
 }
 
-func (p *processor) handOver() {
-	// Deadlines for reading end here: they must not run on while the request
-	// is served and close the connection under its answer.
+func (p *processor) dispatch() {
+	// The read deadline must not close the connection while the request is
+	// being served.
 	_ = p.conn.SetReadDeadline(time.Time{})
-	p.conn.putTaken(p.reserved)
-	p.reserved = taken{}
+	p.conn.pushDispatched(p.current)
+	p.current = requestState{}
 	p.Processor.OnComplete(p.conn.parser)
 }
 
-// Close implements nbhttp.Processor: it frees what a request that never became
-// whole had reserved.
+// Close implements nbhttp.Processor. It releases the reservations of requests
+// that no handler will see.
 func (p *processor) Close(parser *nbhttp.Parser, err error) {
-	// Bytes may still be on their way here from the reading goroutine.
-	p.refused = true
-	p.drop()
-	p.conn.dropTaken()
+	// The reading goroutine may still deliver bytes.
+	p.rejected = true
+	p.releaseCurrent()
+	p.conn.releaseDispatched()
 	p.Processor.Close(parser, err)
 }
 
-// drop frees what the request under way has reserved. That is done when the
-// connection closes: until then the parser holds the bytes that came.
-func (p *processor) drop() {
-	p.reserved.release()
-	p.reserved = taken{}
+// releaseCurrent releases the reservation of an incomplete request. It is
+// called when the connection closes, since the parser holds the bytes until
+// then.
+func (p *processor) releaseCurrent() {
+	p.current.release()
+	p.current = requestState{}
 }
 
-// refuse gives the numbered result as the connection's last answer. It goes
-// through the connection's order of work: an earlier request of the caller
-// that is still served must be answered first.
-func (p *processor) refuse(code result.Code) {
-	if p.refused {
+// reject queues a result code as the last response on the connection, behind
+// the responses to earlier pipelined requests.
+func (p *processor) reject(code result.Code) {
+	if p.rejected {
 		return
 	}
-	p.refused = true
+	p.rejected = true
 	c := p.conn
 	c.Execute(func() {
-		_, _ = c.Write(refusalText(code))
-		_ = c.SetReadDeadline(time.Now().Add(lingerTime))
+		_, _ = c.Write(rejectionResponse(code))
+		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
 	})
 }
 
-// refusalText renders a refusal that is not an answer to a parsed request.
-func refusalText(code result.Code) []byte {
+// rejectionResponse formats a response to a request that was not parsed.
+func rejectionResponse(code result.Code) []byte {
 	info := result.InfoOf(code)
 	text := info.Name + ": " + info.Meaning + "\n"
 	var b strings.Builder
@@ -295,13 +294,13 @@
 	return []byte(b.String())
 }
 
-// refusalRetryAfter is when a caller may come back to a node whose memory was
-// full.
-const refusalRetryAfter = 200 * time.Millisecond
+// rejectionRetryAfter is the retry delay for requests rejected for lack of
+// memory.
+const rejectionRetryAfter = 200 * time.Millisecond
 
-// writeRetryAfter renders when the caller may come back.
+// writeRetryAfter writes the retry header fields.
 func writeRetryAfter(b *strings.Builder) {
 	h := make(http.Header)
-	result.SetRetryAfter(h, result.Spread(refusalRetryAfter))
+	result.SetRetryAfter(h, result.Spread(rejectionRetryAfter))
 	_ = h.Write(b)
 }
--- a/proxy/ingress/server.go
+++ b/proxy/ingress/server.go
@@ -16,30 +16,29 @@
 	"github.com/yuccaroute/yuccaroute/httpserver/handover"
 )
 
-// stopPoll is how often a stop looks whether all answers are given.
-const stopPoll = 5 * time.Millisecond
+// stopPollInterval is how often Stop checks for active requests.
+const stopPollInterval = 5 * time.Millisecond
 
-// Server serves callers until Stop.
+// Server is an HTTP server for client connections.
 type Server struct {
-	options  Options
-	engine   *nbhttp.Engine
-	acceptor *handover.Acceptor
-	address  net.Addr
-	open     atomic.Int64
-	// busy counts requests handed over whose answers are not wholly given.
-	busy atomic.Int64
-	// cleaning counts closed connections whose parsers are not cleaned yet: the
-	// engine's own stop does not wait for that.
-	cleaning atomic.Int64
-	// handovers orders the making of a connection before its use on the
-	// engine's goroutines. The engine itself hands it over through the kernel
-	// only, which Go's memory model does not know.
-	handovers atomic.Int64
-	stop      sync.Once
+	options         Options
+	engine          *nbhttp.Engine
+	acceptor        *handover.Acceptor
+	address         net.Addr
+	openConnections atomic.Int64
+	// activeRequests counts dispatched requests without a complete response.
+	activeRequests atomic.Int64
+	// closingConnections counts closed connections whose parsers still hold
+	// memory; the engine's stop does not wait for them.
+	closingConnections atomic.Int64
+	// connectionFence orders the setup of a connection before its use on the
+	// engine's goroutines. The engine passes connections through the kernel,
+	// which the Go memory model does not cover.
+	connectionFence atomic.Int64
+	stop            sync.Once
 }
 
-// Start listens and serves. It returns an error if the address cannot be
-// bound.
+// Start listens on Options.Address and serves until Stop.
 func Start(o Options) (*Server, error) {
 	o.setDefaults()
 	l, err := net.Listen("tcp", o.Address)
@@ -54,48 +53,47 @@
 		ReadLimit:       o.MaxBodyBytes + o.MaxHeaderBytes,
 		KeepaliveTime:   o.IdleTimeout,
 		OnRequest:       httpserver.LeaveClosing,
-		// Without it the library keeps a queue of 0.5 MB for clients.
+		// Avoids a client queue that is not used here.
 		SupportServerOnly: true,
-		// Every connection can have its request in hand at once. With fewer,
-		// the waiting requests of one account would hold up all others before
-		// anything here has seen them.
+		// One worker per connection, so that waiting requests of one account
+		// cannot block those of others.
 		MessageHandlerPoolSize: o.MaxConnections + 1,
 	})
-	s.engine.Engine.OnClose(s.closed)
-	s.engine.OnWrittenSize(s.written)
+	s.engine.Engine.OnClose(s.onClose)
+	s.engine.OnWrittenSize(s.onWritten)
 	if err := s.engine.Start(); err != nil {
 		_ = l.Close()
 		return nil, errors.Wrap(err, "ingress: start")
 	}
-	if s.acceptor, err = handover.Start(s.engine.Engine, l, s.take); err != nil {
+	if s.acceptor, err = handover.Start(s.engine.Engine, l, s.accept); err != nil {
 		_ = l.Close()
 		return nil, errors.Wrap(err, "ingress: start")
 	}
 	return s, nil
 }
 
-// Address returns the ip:port in use.
+// Address returns the listening ip:port.
 func (s *Server) Address() string { return s.address.String() }
 
-// ActiveRequests returns the requests in hand whose answers are not wholly given.
-func (s *Server) ActiveRequests() int { return int(s.busy.Load()) }
+// ActiveRequests returns the number of requests without a complete response.
+func (s *Server) ActiveRequests() int { return int(s.activeRequests.Load()) }
 
-// Stop takes no new connections, waits until every answer in hand is given or
-// the context ends, and closes all connections. Without an error the memory of
-// all bodies is free when it returns.
+// Stop stops accepting, waits until all responses are complete or the context
+// is done, and closes all connections. If it returns nil, the memory of all
+// bodies is released.
 func (s *Server) Stop(ctx context.Context) error {
 	s.acceptor.Stop()
-	err := waitZero(ctx, &s.busy)
+	err := waitZero(ctx, &s.activeRequests)
 	s.stop.Do(s.engine.Stop)
 	if err != nil {
 		return err
 	}
-	return waitZero(ctx, &s.cleaning)
+	return waitZero(ctx, &s.closingConnections)
 }
 
-// waitZero returns when a count is zero, or with the context's error.
+// waitZero blocks until the count is zero or the context is done.
 func waitZero(ctx context.Context, count *atomic.Int64) error {
-	tick := time.NewTicker(stopPoll)
+	tick := time.NewTicker(stopPollInterval)
 	defer tick.Stop()
 	for count.Load() > 0 {
 		select {
@@ -107,72 +105,71 @@
 	return nil
 }
 
-// take hands a new connection to the engine.
-func (s *Server) take(nbc *nbio.Conn) {
-	if s.open.Add(1) > int64(s.options.MaxConnections) {
-		s.open.Add(-1)
+// accept registers a new connection with the engine.
+func (s *Server) accept(nbc *nbio.Conn) {
+	if s.openConnections.Add(1) > int64(s.options.MaxConnections) {
+		s.openConnections.Add(-1)
 		_ = nbc.Close()
 		return
 	}
 	conn := newConnection(s, nbc)
 	nbc.SetSession(conn)
-	nbc.OnData(s.data)
-	s.handovers.Add(1)
+	nbc.OnData(s.onData)
+	s.connectionFence.Add(1)
 	if _, err := s.engine.AddConn(nbc); err != nil {
 		return
 	}
 	_ = nbc.SetReadDeadline(time.Now().Add(s.options.IdleTimeout))
 }
 
-// closed is called by the engine for every connection that has ended. The
-// handler under way learns it at once; the parser is cleaned after it, in the
-// order of the connection's work.
-func (s *Server) closed(c *nbio.Conn, err error) {
+// onClose is the engine's callback for a closed connection. The handler is
+// notified at once; the parser is closed after it, on the connection's queue.
+func (s *Server) onClose(c *nbio.Conn, err error) {
 	conn := s.connectionOf(c)
 	if conn == nil {
 		return
 	}
-	s.open.Add(-1)
-	conn.gone()
-	s.cleaning.Add(1)
+	s.openConnections.Add(-1)
+	conn.onClose()
+	s.closingConnections.Add(1)
 	c.MustExecute(func() {
-		defer s.cleaning.Add(-1)
-		conn.clean(err)
+		defer s.closingConnections.Add(-1)
+		conn.closeParser(err)
 	})
 }
 
-// data is called by the engine for the bytes that came.
-func (s *Server) data(c *nbio.Conn, data []byte) {
+// onData is the engine's callback for received bytes.
+func (s *Server) onData(c *nbio.Conn, data []byte) {
 	if conn := s.connectionOf(c); conn != nil {
 		conn.onData(data)
 	}
 }
 
-// written is called by the engine for the bytes that the system has taken.
-func (s *Server) written(c *nbio.Conn, _ []byte, n int) {
+// onWritten is the engine's callback for bytes accepted by the kernel.
+func (s *Server) onWritten(c *nbio.Conn, _ []byte, n int) {
 	if conn := s.connectionOf(c); conn != nil {
-		conn.wrote(n)
+		conn.onWritten(n)
 	}
 }
 
 func (s *Server) connectionOf(c *nbio.Conn) *connection {
-	s.handovers.Load()
+	s.connectionFence.Load()
 	conn, _ := c.Session().(*connection)
 	return conn
 }
 
-// serve calls the handler with what the connection adds.
+// serve runs the handler for a dispatched request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	response := w.(*nbhttp.Response)
 	conn := response.Parser.Processor.(*processor).conn
-	taken := conn.nextTaken()
-	defer taken.release()
-	if taken.body != nil {
-		r.Body = taken.body
+	state := conn.popDispatched()
+	defer state.release()
+	if state.body != nil {
+		r.Body = state.body
 	}
-	s.busy.Add(1)
-	defer s.busy.Add(-1)
-	writer := &ResponseWriter{Response: response, conn: conn, began: taken.began, body: taken.body}
+	s.activeRequests.Add(1)
+	defer s.activeRequests.Add(-1)
+	writer := &ResponseWriter{Response: response, conn: conn, startedAt: state.startedAt, body: state.body}
 	s.options.Handler.ServeHTTP(writer, r)
-	writer.endBody()
+	writer.abortBody()
 }
--- a/proxy/ingress/server_test.go
+++ b/proxy/ingress/server_test.go
@@ -19,28 +19,28 @@
 )
 
 func TestMain(m *testing.M) {
-	// nbio keeps its timers and buffers for the process, not the engine.
+	// nbio's timers and buffers belong to the process, not to the engine.
 	goleak.VerifyTestMain(m)
 }
 
-// bounded is a Bodies with a fixed memory.
-type bounded struct {
+// limitedAdmitter is a BodyAdmitter with a fixed amount of memory.
+type limitedAdmitter struct {
 	free  atomic.Int64
 	limit int64
 }
 
-func (b *bounded) ReserveBody(_ http.Header, length int64) (Reservation, result.Code) {
+func (a *limitedAdmitter) ReserveBody(_ http.Header, length int64) (Reservation, result.Code) {
 	if length < 0 {
-		length = b.limit
+		length = a.limit
 	}
-	if length > b.limit {
+	if length > a.limit {
 		return Reservation{}, result.RequestTooLarge
 	}
-	if b.free.Add(-length) < 0 {
-		b.free.Add(length)
+	if a.free.Add(-length) < 0 {
+		a.free.Add(length)
 		return Reservation{}, result.BufferFull
 	}
-	return Reservation{MaxBytes: b.limit, LeadTime: time.Hour, Release: func() { b.free.Add(length) }}, result.OK
+	return Reservation{MaxBytes: a.limit, LeadTime: time.Hour, Release: func() { a.free.Add(length) }}, result.OK
 }
 
 func startServer(t *testing.T, o Options) *Server {
@@ -64,7 +64,7 @@
 	return c, bufio.NewReader(c)
 }
 
-func readAnswer(t testing.TB, r *bufio.Reader) (*http.Response, string) {
+func readResponse(t testing.TB, r *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -94,47 +94,45 @@
 	w.(http.Flusher).Flush()
 }
 
-// A caller sends something that is no request, or too much of one. It gets a
-// numbered "not run" instead of a connection that just closes, and the handler
-// never sees it.
-func TestBadInputGetsANumberedResult(t *testing.T) {
+// Malformed and oversized requests must get a result code with outcome not-run
+// and must not reach the handler.
+func TestBadInputGetsResultCode(t *testing.T) {
 	cases := []struct {
 		name, text string
 		want       result.Code
 	}{
-		{"no HTTP", "\x16\x03\x01 hello\r\n\r\n", result.BadRequest},
-		{"another protocol", "GET / HTTP/2.0\r\n\r\n", result.BadRequest},
-		{"bad length", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", result.BadRequest},
-		{"endless head", "GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 80<<10), result.BadRequest},
+		{"not HTTP", "\x16\x03\x01 hello\r\n\r\n", result.BadRequest},
+		{"unsupported version", "GET / HTTP/2.0\r\n\r\n", result.BadRequest},
+		{"malformed length", "POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n", result.BadRequest},
+		{"endless header", "GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 80<<10), result.BadRequest},
 		{"body over the limit", "POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n", result.RequestTooLarge},
-		{"body over the memory", "POST / HTTP/1.1\r\nContent-Length: 900\r\n\r\n", result.BufferFull},
+		{"body over the free memory", "POST / HTTP/1.1\r\nContent-Length: 900\r\n\r\n", result.BufferFull},
 		{"chunk over the limit", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n400\r\n" + strings.Repeat("a", 0x400) + "\r\n", result.BufferFull},
-		{"length beyond an integer", "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", result.BadRequest},
+		{"length overflows an integer", "POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", result.BadRequest},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			handler := func(http.ResponseWriter, *http.Request) { t.Error("the handler ran") }
-			bodies := &bounded{limit: 1000}
+			bodies := &limitedAdmitter{limit: 1000}
 			bodies.free.Store(800)
 			s := startServer(t, Options{Handler: http.HandlerFunc(handler), BodyAdmitter: bodies})
 			conn, r := dialServer(t, s)
 			_, _ = io.WriteString(conn, c.text)
-			resp, _ := readAnswer(t, r)
+			resp, _ := readResponse(t, r)
 			wantCode(t, resp, c.want)
-			due := result.InfoOf(c.want).Retry
+			want := result.InfoOf(c.want).Retry
 			for _, field := range []string{result.HeaderRetryAfter, "Retry-After"} {
-				if told := resp.Header.Get(field) != ""; told != due {
-					t.Errorf("%s told: %t, due: %t", field, told, due)
+				if got := resp.Header.Get(field) != ""; got != want {
+					t.Errorf("%s present: %t, want %t", field, got, want)
 				}
 			}
 		})
 	}
 }
 
-// A caller sends two requests at once and the second is malformed. The first
-// is still being served: its answer must come first, and whole, or the caller
-// takes the refusal for it.
-func TestRefusalWaitsForTheAnswerBefore(t *testing.T) {
+// The rejection of a malformed pipelined request must follow the response to the
+// request before it.
+func TestRejectionFollowsEarlierResponse(t *testing.T) {
 	release := make(chan struct{})
 	entered := make(chan struct{})
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -148,16 +146,16 @@
 	<-entered
 	_, _ = io.WriteString(conn, "NO\x00SENSE\r\n\r\n")
 	close(release)
-	if _, body := readAnswer(t, r); body != "first" {
-		t.Fatalf("first answer %q", body)
+	if _, body := readResponse(t, r); body != "first" {
+		t.Fatalf("first response %q", body)
 	}
-	resp, _ := readAnswer(t, r)
+	resp, _ := readResponse(t, r)
 	wantCode(t, resp, result.BadRequest)
 }
 
-// A caller goes while its request is served. Without notice of it the slot at
-// the target would stay taken until the deadline.
-func TestHandlerLearnsThatItsCallerHasGone(t *testing.T) {
+// Without close notification a slot at the target stays occupied until the
+// deadline.
+func TestHandlerIsNotifiedOfClientClose(t *testing.T) {
 	entered, gone := make(chan struct{}), make(chan struct{})
 	handler := func(w http.ResponseWriter, r *http.Request) {
 		stop := w.(*ResponseWriter).WatchClose(r, func() { close(gone) })
@@ -173,12 +171,12 @@
 	<-gone
 }
 
-// largeBytes is more than the system's buffers take.
+// largeBytes exceeds the socket buffers.
 const largeBytes = 32 << 20
 
-// askForLarge asks a server for a large answer; flushed tells, when the answer
-// counts as given, whether the system has taken all of it.
-func askForLarge(t *testing.T, o Options) (s *Server, r *bufio.Reader, flushed chan bool) {
+// requestLargeResponse requests a large response; flushed receives, after Flush,
+// whether the kernel has accepted all of it.
+func requestLargeResponse(t *testing.T, o Options) (s *Server, r *bufio.Reader, flushed chan bool) {
 	t.Helper()
 	large := bytes.Repeat([]byte("a"), largeBytes)
 	flushed = make(chan bool, 1)
@@ -186,7 +184,7 @@
 		w.Header().Set("Content-Length", fmt.Sprint(len(large)))
 		_, _ = w.Write(large)
 		w.(http.Flusher).Flush()
-		flushed <- takenWhole(w.(*ResponseWriter).conn)
+		flushed <- isFlushed(w.(*ResponseWriter).conn)
 	})
 	s = startServer(t, o)
 	conn, r := dialServer(t, s)
@@ -194,50 +192,48 @@
 	return s, r, flushed
 }
 
-func takenWhole(c *connection) bool {
+func isFlushed(c *connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.taken >= largeBytes && c.taken == c.handed
+	return c.bytesWritten >= largeBytes && c.bytesWritten == c.bytesQueued
 }
 
-// A caller asks for a large answer and does not read it. The answer counts as
-// given, and its memory as free, only when the system has taken all of it; a
-// stop in between would cut it.
-func TestAnswerIsGivenWhenTakenWhole(t *testing.T) {
-	s, r, flushed := askForLarge(t, Options{})
+// Flush must block until the kernel has accepted the whole response; otherwise
+// Stop could truncate it.
+func TestFlushWaitsForClientToRead(t *testing.T) {
+	s, r, flushed := requestLargeResponse(t, Options{})
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-flushed:
-		t.Fatal("the answer counts as given though nobody read it")
+		t.Fatal("Flush returned though the client has not read the response")
 	default:
 	}
 	if s.ActiveRequests() != 1 {
-		t.Fatalf("%d requests in hand", s.ActiveRequests())
+		t.Fatalf("%d active requests", s.ActiveRequests())
 	}
 	n, err := io.Copy(io.Discard, resp.Body)
 	if err != nil || n != largeBytes {
 		t.Fatalf("read %d bytes, error %v", n, err)
 	}
 	if !<-flushed {
-		t.Fatal("the answer counted as given before the system had taken it")
+		t.Fatal("Flush returned before the kernel accepted the response")
 	}
 }
 
-// A caller that never reads its answer is closed after AnswerTime; without the
-// bound its answer would stay in memory for ever.
-func TestCallerThatNeverReadsIsClosed(t *testing.T) {
-	_, _, flushed := askForLarge(t, Options{WriteTimeout: 50 * time.Millisecond})
+// A client that never reads must be disconnected after WriteTimeout, to free the
+// memory of its response.
+func TestWriteTimeoutClosesConnection(t *testing.T) {
+	_, _, flushed := requestLargeResponse(t, Options{WriteTimeout: 50 * time.Millisecond})
 	<-flushed
 }
 
-// Callers break off their uploads half-way, some when the handler reads them
-// already, or are refused. All memory they had reserved must come back.
-func TestReservedMemoryComesBack(t *testing.T) {
-	bodies := &bounded{limit: 1 << 20}
-	// Enough for all at once: a broken upload is freed when the server sees it.
+// Memory reserved by completed and aborted uploads must be released.
+func TestReservedMemoryIsReleased(t *testing.T) {
+	bodies := &limitedAdmitter{limit: 1 << 20}
+	// Enough for all uploads: memory is released only once the server sees the close.
 	const memory = 64 << 20
 	bodies.free.Store(memory)
 	s := startServer(t, Options{Handler: http.HandlerFunc(echo), BodyAdmitter: bodies})
@@ -250,15 +246,15 @@
 			_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n")
 		case 2:
 			_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nContent-Length: 4\r\n\r\nfull")
-			if _, body := readAnswer(t, r); body != "full" {
-				t.Fatalf("answer %q", body)
+			if _, body := readResponse(t, r); body != "full" {
+				t.Fatalf("response %q", body)
 			}
 		case 3:
 			_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nContent-Length: 1000000\r\n\r\n"+strings.Repeat("h", 600_000))
 		case 4:
 			_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n")
-			if _, body := readAnswer(t, r); body != "full" {
-				t.Fatalf("answer %q", body)
+			if _, body := readResponse(t, r); body != "full" {
+				t.Fatalf("response %q", body)
 			}
 		}
 		conn.Close()
@@ -269,41 +265,40 @@
 	}
 }
 
-// A caller sends other fields with each request on one connection: new names,
-// long names, many values. What is kept of them must not grow without end, and
-// nothing of one request may count for the next.
-func TestKeptFieldsAreBounded(t *testing.T) {
-	p := &processor{header: http.Header{}}
-	for i := range 10 * maxKeptFields {
-		p.header[result.HeaderAccount] = append(p.header[result.HeaderAccount], "daehan")
-		p.header[fmt.Sprint("Yucca-", i)] = []string{"x"}
-		p.header["Yucca-"+strings.Repeat("a", maxKeptNameBytes)] = []string{"x"}
-		p.header["Yucca-Many"] = make([]string, maxKeptValues+1)
-		p.forgetHeader()
-		if len(p.header) > maxKeptFields {
-			t.Fatalf("%d names kept", len(p.header))
+// Fields retained between requests must be bounded in number and size, and no
+// value may carry over to the next request.
+func TestRetainedFieldsAreBounded(t *testing.T) {
+	p := &processor{admissionHeader: http.Header{}}
+	for i := range 10 * maxRetainedFields {
+		p.admissionHeader[result.HeaderAccount] = append(p.admissionHeader[result.HeaderAccount], "daehan")
+		p.admissionHeader[fmt.Sprint("Yucca-", i)] = []string{"x"}
+		p.admissionHeader["Yucca-"+strings.Repeat("a", maxRetainedNameBytes)] = []string{"x"}
+		p.admissionHeader["Yucca-Many"] = make([]string, maxRetainedValues+1)
+		p.resetAdmissionHeader()
+		if len(p.admissionHeader) > maxRetainedFields {
+			t.Fatalf("%d names retained", len(p.admissionHeader))
 		}
-		for name, values := range p.header {
-			kept := values[:cap(values)]
-			if len(values) > 0 || len(name) > maxKeptNameBytes || len(kept) > maxKeptValues || strings.Join(kept, "") != "" {
-				t.Fatalf("%s: %q kept", name, kept)
+		for name, values := range p.admissionHeader {
+			retained := values[:cap(values)]
+			if len(values) > 0 || len(name) > maxRetainedNameBytes || len(retained) > maxRetainedValues || strings.Join(retained, "") != "" {
+				t.Fatalf("%s: %q retained", name, retained)
 			}
 		}
 	}
 }
 
-func TestContinueInvitesTheBody(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	s := startServer(t, Options{Handler: http.HandlerFunc(echo)})
 	conn, r := dialServer(t, s)
-	for _, want := range []string{"body", strings.Repeat("body", collectOverBytes)} {
+	for _, want := range []string{"body", strings.Repeat("body", collectThresholdBytes)} {
 		_, _ = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", len(want))
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != http.StatusContinue {
 			t.Fatalf("%v %v", resp, err)
 		}
 		_, _ = io.WriteString(conn, want)
-		if _, body := readAnswer(t, r); body != want {
-			t.Fatalf("answer %.20q", body)
+		if _, body := readResponse(t, r); body != want {
+			t.Fatalf("response %.20q", body)
 		}
 	}
 }
--- a/proxy/ingress/writer.go
+++ b/proxy/ingress/writer.go
@@ -7,56 +7,56 @@
 	"github.com/lesismal/nbio/nbhttp"
 )
 
-// ResponseWriter is the ResponseWriter that handlers get.
+// ResponseWriter is the http.ResponseWriter passed to handlers.
 type ResponseWriter struct {
 	*nbhttp.Response
-	conn  *connection
-	began time.Time
-	// body is set if it is collected; it may still be coming.
+	conn      *connection
+	startedAt time.Time
+	// body is the collected body, which may be incomplete.
 	body *Body
 }
 
-// WriteHeader implements http.ResponseWriter. An answer that is given before
-// the request's body is whole is the last one on its connection: what comes
-// after it could be the rest of the body as well as a request.
+// WriteHeader implements http.ResponseWriter. A response before the end of the
+// request body is the last on its connection, since the following bytes belong
+// to that body.
 func (w *ResponseWriter) WriteHeader(status int) {
-	w.endBody()
+	w.abortBody()
 	w.Response.WriteHeader(status)
 }
 
-// endBody drops the rest of a body that still comes.
-func (w *ResponseWriter) endBody() {
+// abortBody discards the rest of an incomplete body.
+func (w *ResponseWriter) abortBody() {
 	if w.body == nil {
 		return
 	}
-	if !w.body.end() {
+	if !w.body.abort() {
 		w.Header().Set("Connection", "close")
-		w.conn.linger()
+		w.conn.closeAfterLinger()
 	}
 	w.body = nil
 }
 
-// Flush gives the answer and returns when the system has taken its last byte.
-// Until then the answer's memory is in use and the request is not ended.
+// Flush sends the response and blocks until the kernel has accepted all of it.
+// Until then its memory is in use and the request counts as active.
 func (w *ResponseWriter) Flush() {
-	if w.conn.hasClosed() {
-		// The engine would log an error for what is the caller's right.
+	if w.conn.isClosed() {
+		// The engine would log an error for a regular close by the client.
 		return
 	}
 	w.Response.Flush()
-	w.conn.waitTaken()
+	w.conn.waitFlushed()
 }
 
-// WatchClose calls gone once the caller has closed the connection, until stop
+// WatchClose calls gone once the client has closed the connection, until stop
 // is called.
 func (w *ResponseWriter) WatchClose(_ *http.Request, gone func()) (stop func()) {
-	return w.conn.watch(gone)
+	return w.conn.watchClose(gone)
 }
 
-// BodyReserved reports that the memory of the request's body is accounted for
-// by Options.Bodies.
+// BodyReserved reports whether Options.BodyAdmitter accounts for the memory of
+// the request body.
 func (w *ResponseWriter) BodyReserved() bool { return w.conn.server.options.BodyAdmitter != nil }
 
-// Began returns when the request's first line was there. A deadline counts
-// from then on, not from when a slow body was whole.
-func (w *ResponseWriter) Began() time.Time { return w.began }
+// Began returns when the request line was received; the deadline counts from
+// there even if the body is slow.
+func (w *ResponseWriter) Began() time.Time { return w.startedAt }
