--- a/control/decider/hasten.go
+++ b/control/decider/hasten.go
@@ -18,7 +18,7 @@
 // at most as many nodes as may report in a second, and no silent ones.
 func (c *Core) NodesToHasten(now time.Time) []ledger.Node {
 	var nodes []ledger.Node
-	for _, node := range c.ledger.Untold() {
+	for _, node := range c.ledger.OutdatedNodes() {
 		r := c.reports[node.ID]
 		if r == nil || c.silent(r, now) || !c.needsHasten(r, now) {
 			continue
--- a/control/holder/request_compactor.go
+++ b/control/holder/request_compactor.go
@@ -46,7 +46,7 @@
 	case recent && slices.Equal(c.lastReport.Flows, report.Flows):
 		request.Flows = nil
 		request.FlowsSame = true
-	case names.Flows(report.Flows) == c.flowNames:
+	case names.HashFlows(report.Flows) == c.flowNames:
 		request.FlowNames = c.flowNames
 		for _, f := range request.Flows {
 			f.Service, f.Caller = "", ""
@@ -59,7 +59,7 @@
 	case recent && samePlaces(c.lastReport, report):
 		request.Places = nil
 		request.PlacesSame = true
-	case names.Places(report.Places) == c.placeNames:
+	case names.HashPlaces(report.Places) == c.placeNames:
 		request.PlaceNames = c.placeNames
 		for _, p := range request.Places {
 			p.Service, p.Place = "", ""
@@ -75,11 +75,11 @@
 	}
 	if request.NodeKey == 0 {
 		c.epoch = response.Epoch
-		c.nodeHash = names.Node(request.Node)
+		c.nodeHash = names.HashNode(request.Node)
 	}
 	c.lastReport.Flows = report.Flows
 	if !request.FlowsSame && request.FlowNames == 0 {
-		c.flowNames = names.Flows(report.Flows)
+		c.flowNames = names.HashFlows(report.Flows)
 	}
 	if request.PlacesSame {
 		return
@@ -87,6 +87,6 @@
 	c.lastReport.Places, c.lastReport.Interval = report.Places, report.Interval
 	c.placesSentAt = now
 	if request.PlaceNames == 0 {
-		c.placeNames = names.Places(report.Places)
+		c.placeNames = names.HashPlaces(report.Places)
 	}
 }
--- a/control/ledger/bench_test.go
+++ b/control/ledger/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// The target's sizes: 6 regions with 17 failure domains and two services.
+// Dimensions of the benchmark account; a place is a failure domain.
 const (
 	benchRegions  = 6
 	benchPlaces   = 17
@@ -39,71 +39,71 @@
 func regionName(r int) model.RegionName { return model.RegionName(fmt.Sprintf("region-%d", r)) }
 func placeName(p int) model.PlaceName   { return model.PlaceName(fmt.Sprintf("place-%02d", p)) }
 
-// full returns a ledger in which each node holds a part of each key.
-func full(nodes int) (*Ledger, []Node) {
-	l := New(DefaultParams(), 1, LimitsOf(benchAccount()))
+// newFullLedger returns a ledger in which every node holds a grant for every key.
+func newFullLedger(nodes int) (*Ledger, []Node) {
+	l := New(DefaultParams(), 1, NewLimits(benchAccount()))
 	l.Rewrite(start)
-	l.Written()
+	l.ConfirmWrite()
 	var all []Node
 	for i := range nodes {
 		n := Node{
-			ID:      grant.NodeID{VM: fmt.Sprintf("entry-%04d", i), Incarnation: uint64(i) << 40},
-			Region:  regionName(i % benchRegions),
-			Address: fmt.Sprintf("10.0.%d.%d:7100", i/250, i%250),
-			Listed:  1,
+			ID:           grant.NodeID{VM: fmt.Sprintf("entry-%04d", i), Incarnation: uint64(i) << 40},
+			Region:       regionName(i % benchRegions),
+			Address:      fmt.Sprintf("10.0.%d.%d:7100", i/250, i%250),
+			ListSequence: 1,
 		}
 		all = append(all, n)
-		l.Hear(n, start)
+		l.RecordContact(n, start)
 		w := make([]Amounts, len(l.Keys()))
 		for k := range w {
-			w[k] = Amounts{Floor: AmountOf(14_000 / float64(nodes)), Surplus: AmountOf(6_000 / float64(nodes))}
+			w[k] = Amounts{Floor: AmountFromRPS(14_000 / float64(nodes)), Surplus: AmountFromRPS(6_000 / float64(nodes))}
 		}
-		l.Want(n.ID, w)
+		l.SetWanted(n.ID, w)
 	}
 	l.Propose(start)
-	l.Written()
+	l.ConfirmWrite()
 	for _, n := range all {
 		l.Issue(n.ID, start)
 	}
 	return l, all
 }
 
-// BenchmarkProposeSteady is the work of each second while nothing changes.
+// BenchmarkProposeSteady measures a step in which nothing changes.
 func BenchmarkProposeSteady(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			l, _ := full(nodes)
+			l, _ := newFullLedger(nodes)
 			b.ReportAllocs()
 			for b.Loop() {
 				if l.Propose(start) != nil {
-					b.Fatal("wrote in a steady state")
+					b.Fatal("proposed a write in the steady state")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkProposeFailure is the work of the second in which every grant
-// changes and the ledger is written.
+// BenchmarkProposeFailure measures a step that changes every grant and writes the
+// ledger.
 func BenchmarkProposeFailure(b *testing.B) {
 	for _, nodes := range benchNodes {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			l, all := full(nodes)
+			l, all := newFullLedger(nodes)
 			b.ReportAllocs()
 			extra := grant.Amount(0)
 			for b.Loop() {
 				extra = 1 - extra
-				changeAll(l, all, extra)
+				changeAllGrants(l, all, extra)
 				if l.Propose(start) != nil {
-					l.Written()
+					l.ConfirmWrite()
 				}
 			}
-			b.ReportMetric(float64(l.Bytes()), "ledger-bytes")
+			b.ReportMetric(float64(l.RecordSize()), "ledger-bytes")
 		})
 	}
 }
 
-func changeAll(l *Ledger, all []Node, extra grant.Amount) {
+func changeAllGrants(l *Ledger, all []Node, extra grant.Amount) {
 	w := make([]Amounts, len(l.Keys()))
 	for k := range w {
 		w[k] = Amounts{Floor: 1000, Surplus: 1000 + extra}
@@ -111,29 +111,29 @@
 	for _, n := range all {
 		h := l.nodes[n.ID]
 		clear(h.reserved)
-		l.Want(n.ID, w)
+		l.SetWanted(n.ID, w)
 	}
 }
 
-// BenchmarkIssue is the ledger's part in one answer to a report.
+// BenchmarkIssue measures issuing one set.
 func BenchmarkIssue(b *testing.B) {
-	l, all := full(550)
+	l, all := newFullLedger(550)
 	b.ReportAllocs()
 	for b.Loop() {
 		l.Issue(all[0].ID, start)
 	}
 }
 
-// The whole ledger of the target's fleet must fit in one value of the store,
-// with room to grow: an account whose ledger cannot be written gets no raise.
-func TestRecordFitsTheStore(t *testing.T) {
+// The record must fit a store value with headroom: if the ledger cannot be written,
+// no grant can be raised.
+func TestRecordFitsStoreValue(t *testing.T) {
 	const limit = 1 << 20
 	for _, nodes := range benchNodes {
-		l, _ := full(nodes)
-		perEntry := float64(l.Bytes()) / float64(nodes*len(l.Keys()))
-		t.Logf("%d nodes, %d keys: %d bytes, %.1f for each node and key", nodes, len(l.Keys()), l.Bytes(), perEntry)
-		if l.Bytes() > limit/4 {
-			t.Errorf("%d nodes take %d bytes", nodes, l.Bytes())
+		l, _ := newFullLedger(nodes)
+		perEntry := float64(l.RecordSize()) / float64(nodes*len(l.Keys()))
+		t.Logf("%d nodes, %d keys: %d bytes, %.1f per node and key", nodes, len(l.Keys()), l.RecordSize(), perEntry)
+		if l.RecordSize() > limit/4 {
+			t.Errorf("record of %d nodes has %d bytes", nodes, l.RecordSize())
 		}
 	}
 }
