--- a/proxy/ingress/processor.go
+++ b/proxy/ingress/processor.go
@@ -16,9 +16,8 @@
 // response.
 const lingerTimeout = 500 * time.Millisecond
 
-// maxChunkedOverhead bounds the size of a chunked body on the wire, as a
-// multiple of the body limit.
-const maxChunkedOverhead = 2
+// maxChunkedRatio bounds the wire size of a chunked body relative to its limit.
+const maxChunkedRatio = 2
 
 var errProtocol = errors.New("ingress: not HTTP/1")
 
@@ -222,7 +221,7 @@
 // The parser buffers a whole chunk before OnBody sees it.
 func (p *processor) bodyTooLarge() bool {
 	head := int64(p.conn.server.options.MaxHeaderBytes)
-	return p.inBody && p.chunked && int64(p.receivedBytes) > head+maxChunkedOverhead*p.bodyLimit()
+	return p.inBody && p.chunked && int64(p.receivedBytes) > head+maxChunkedRatio*p.bodyLimit()
 }
 
 // OnComplete implements nbhttp.Processor. It dispatches the request unless it
