--- a/node/kept.go
+++ b/node/kept.go
@@ -86,8 +86,8 @@
 		header[field.Name] = field.Values
 	}
 	return &kept.Response{
-		Answer: forward.Answer{Status: int(r.Status), Header: header, Body: r.Body, NoBody: r.NoBody},
-		Place:  r.Place,
-		Target: r.Target,
+		Response: forward.Response{Status: int(r.Status), Header: header, Body: r.Body, NoBody: r.NoBody},
+		Place:    r.Place,
+		Target:   r.Target,
 	}
 }
--- a/proxy/attempt.go
+++ b/proxy/attempt.go
@@ -19,7 +19,7 @@
 // attempt.
 type attempt struct {
 	permission permission
-	answer     *forward.Answer
+	answer     *forward.Response
 	code       result.Code
 	made       bool
 }
@@ -58,9 +58,9 @@
 }
 
 // releaseAnswer frees the buffer memory of an answer.
-func (q *request) releaseAnswer(a *forward.Answer) {
+func (q *request) releaseAnswer(a *forward.Response) {
 	if a != nil {
-		q.account.bytes.Give(a.Reserved)
+		q.account.bytes.Give(a.ReservedBytes)
 	}
 }
 
@@ -106,8 +106,8 @@
 		return a
 	}
 	p.recordAnswer(permission, answer, took)
-	if q.out.Length > p.options.StreamOverBytes && answer.Writing > 0 {
-		q.service.state.sendTime.observe(q.out.Length, answer.Writing)
+	if q.out.Length > p.options.StreamOverBytes && answer.SendDuration > 0 {
+		q.service.state.sendTime.observe(q.out.Length, answer.SendDuration)
 	}
 	if answer.Shed {
 		q.releaseAnswer(answer)
@@ -168,10 +168,10 @@
 }
 
 // recordAnswer updates the state of the target and the statistics of its place.
-func (p *Proxy) recordAnswer(permission permission, answer *forward.Answer, took time.Duration) {
+func (p *Proxy) recordAnswer(permission permission, answer *forward.Response, took time.Duration) {
 	state := permission.target.state
 	now := p.now()
-	if answer.Leaving {
+	if answer.Draining {
 		state.MarkLeaving()
 	}
 	if answer.Shed {
--- a/proxy/body.go
+++ b/proxy/body.go
@@ -22,7 +22,7 @@
 	}
 	if partial := incompleteBody(r.Body); partial != nil {
 		q.partialBody = partial
-		q.out.Source = partial
+		q.out.BodySource = partial
 		q.out.Length = r.ContentLength
 		return nil
 	}
@@ -63,7 +63,7 @@
 	if !ok {
 		return nil
 	}
-	if _, whole := collected.WholeAt(); whole {
+	if _, whole := collected.CompletedAt(); whole {
 		return nil
 	}
 	return collected
@@ -76,7 +76,7 @@
 	if q.partialBody == nil {
 		return time.Since(sent)
 	}
-	wholeAt, whole := q.partialBody.WholeAt()
+	wholeAt, whole := q.partialBody.CompletedAt()
 	if !whole {
 		return 0
 	}
@@ -96,7 +96,7 @@
 		return buffered.RawBodyBuffers(), nil
 	}
 	if collected, ok := body.(*ingress.Body); ok {
-		pieces, _ := collected.Pieces()
+		pieces, _ := collected.Buffers()
 		return pieces, nil
 	}
 	whole, err := io.ReadAll(io.LimitReader(body, limit+1))
--- a/proxy/caller.go
+++ b/proxy/caller.go
@@ -19,7 +19,7 @@
 	BodyReserved() bool
 }
 
-var _ caller = (*ingress.Writer)(nil)
+var _ caller = (*ingress.ResponseWriter)(nil)
 
 // plainCaller implements caller for other HTTP servers.
 type plainCaller struct{ began time.Time }
--- /dev/null
+++ b/proxy/forward/response.go
@@ -0,0 +1,53 @@
+package forward
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+)
+
+// Response is a complete response from a target.
+type Response struct {
+	Status int
+	Header http.Header
+	Body   []byte
+	// ReservedBytes is the part of Request.Memory that holds the body; the
+	// caller returns it.
+	ReservedBytes int64
+	// SendDuration is the time spent writing the request, without waiting for
+	// body bytes. It is zero for a small body or an incomplete write.
+	SendDuration time.Duration
+	// NoBody is set for responses without a body (HEAD, 204, 304).
+	NoBody bool
+	// Shed is set if the target rejected the request before running it.
+	Shed bool
+	// Draining is set if the target accepts no new requests.
+	Draining bool
+}
+
+// ContentLengthHeader returns the Content-Length values to forward, nil for
+// none; the caller must not modify them. The length is that of the body read,
+// except for a response without a body, whose header is forwarded.
+func (r *Response) ContentLengthHeader() []string {
+	values := r.Header["Content-Length"]
+	if r.NoBody {
+		return parseContentLength(values)
+	}
+	var digits [20]byte
+	length := strconv.AppendInt(digits[:0], int64(len(r.Body)), 10)
+	if len(values) == 1 && values[0] == string(length) {
+		return values
+	}
+	return []string{string(length)}
+}
+
+func parseContentLength(values []string) []string {
+	if len(values) == 0 {
+		return nil
+	}
+	n, err := strconv.ParseInt(values[0], 10, 64)
+	if err != nil || n < 0 {
+		return nil
+	}
+	return []string{strconv.FormatInt(n, 10)}
+}
--- a/proxy/ingress/options.go
+++ b/proxy/ingress/options.go
@@ -9,75 +9,75 @@
 
 // Defaults of Options.
 const (
-	DefaultHeadBytes   = 32 << 10
-	DefaultBodyBytes   = 64 << 20
-	DefaultConnections = 8192
-	DefaultHeadTime    = 10 * time.Second
-	DefaultBodyTime    = 30 * time.Second
-	DefaultAnswerTime  = 10 * time.Second
-	DefaultIdleTime    = 2 * time.Minute
+	DefaultMaxHeaderBytes = 32 << 10
+	DefaultMaxBodyBytes   = 64 << 20
+	DefaultMaxConnections = 8192
+	DefaultHeaderTimeout  = 10 * time.Second
+	DefaultBodyTimeout    = 30 * time.Second
+	DefaultWriteTimeout   = 10 * time.Second
+	DefaultIdleTimeout    = 2 * time.Minute
 )
 
-// Bodies decides, when the head of a request is there, whether its body may
-// come.
-type Bodies interface {
-	// ReserveBody reserves memory for a body of length bytes, -1 if that is
-	// not known. The header holds the fields whose names begin with "Yucca-",
-	// Idempotency-Key, Expect and Transfer-Encoding; it must not be kept. A code
-	// other than result.OK refuses the request.
+// BodyAdmitter decides, once a request header is complete, whether to accept
+// the body.
+type BodyAdmitter interface {
+	// ReserveBody reserves memory for a body of length bytes, -1 if unknown.
+	// The header holds the fields whose names begin with "Yucca-",
+	// Idempotency-Key, Expect and Transfer-Encoding; it must not be retained. A
+	// code other than result.OK rejects the request.
 	ReserveBody(h http.Header, length int64) (Reservation, result.Code)
 }
 
 // Reservation is memory reserved for one body.
 type Reservation struct {
-	// Time bounds how long the body may take to come, 0 for Options.BodyTime.
-	Time time.Duration
-	// Limit bounds the body in bytes, 0 for Options.MaxBodyBytes.
-	Limit int64
-	// Ahead is how long before the last byte of a large body is expected its
-	// request is handed over, 0 for not before; see Body. A body of unknown
-	// length is never handed over before it is whole.
-	Ahead time.Duration
-	// Release frees the memory; it is called once. It may be nil.
+	// Timeout bounds the time to receive the body; 0 means Options.BodyTimeout.
+	Timeout time.Duration
+	// MaxBytes bounds the size of the body; 0 means Options.MaxBodyBytes.
+	MaxBytes int64
+	// LeadTime is how long before the expected arrival of the last byte a
+	// request with a large body is dispatched; 0 means after the body is
+	// complete. A body of unknown length is always complete before dispatch.
+	LeadTime time.Duration
+	// Release frees the memory. It is called once and may be nil.
 	Release func()
 }
 
-// Options configure a Server. Zero values take the defaults.
+// Options configures a Server. Zero values select the defaults.
 type Options struct {
-	// Address is ip:port; port 0 takes a free one.
+	// Address is ip:port; port 0 selects a free port.
 	Address string
 	Handler http.Handler
-	// Bodies may be nil; then only MaxBodyBytes bounds a body.
-	Bodies Bodies
-	// MaxHeadBytes bounds request line and fields, MaxBodyBytes one body.
-	MaxHeadBytes int
-	MaxBodyBytes int
-	// MaxConnections bounds callers' connections.
+	// BodyAdmitter may be nil; then only MaxBodyBytes limits a body.
+	BodyAdmitter BodyAdmitter
+	// MaxHeaderBytes limits the request line and header, MaxBodyBytes one body.
+	MaxHeaderBytes int
+	MaxBodyBytes   int
+	// MaxConnections limits client connections.
 	MaxConnections int
-	// HeadTime and BodyTime bound how long a head and a body may take to come,
-	// AnswerTime how long a caller may take to read an answer. IdleTime is how
-	// long a connection may wait for its next request.
-	HeadTime, BodyTime, AnswerTime, IdleTime time.Duration
+	// HeaderTimeout and BodyTimeout bound receiving a header and a body,
+	// WriteTimeout how long a client may take to read a response, IdleTimeout
+	// the wait for the next request.
+	HeaderTimeout, BodyTimeout, WriteTimeout, IdleTimeout time.Duration
 }
 
 func (o *Options) setDefaults() {
-	setInt(&o.MaxHeadBytes, DefaultHeadBytes)
-	setInt(&o.MaxBodyBytes, DefaultBodyBytes)
-	setInt(&o.MaxConnections, DefaultConnections)
-	setTime(&o.HeadTime, DefaultHeadTime)
-	setTime(&o.BodyTime, DefaultBodyTime)
-	setTime(&o.AnswerTime, DefaultAnswerTime)
-	setTime(&o.IdleTime, DefaultIdleTime)
+	defaultInt(&o.MaxHeaderBytes, DefaultMaxHeaderBytes)
+	defaultInt(&o.MaxBodyBytes, DefaultMaxBodyBytes)
+	defaultInt(&o.MaxConnections, DefaultMaxConnections)
+	defaultDuration(&o.HeaderTimeout, DefaultHeaderTimeout)
+	defaultDuration(&o.BodyTimeout, DefaultBodyTimeout)
+	defaultDuration(&o.WriteTimeout, DefaultWriteTimeout)
+	defaultDuration(&o.IdleTimeout, DefaultIdleTimeout)
 }
 
-func setInt(v *int, standard int) {
+func defaultInt(v *int, def int) {
 	if *v <= 0 {
-		*v = standard
+		*v = def
 	}
 }
 
-func setTime(v *time.Duration, standard time.Duration) {
+func defaultDuration(v *time.Duration, def time.Duration) {
 	if *v <= 0 {
-		*v = standard
+		*v = def
 	}
 }
--- a/proxy/kept/response.go
+++ b/proxy/kept/response.go
@@ -9,7 +9,7 @@
 
 // Response is the complete response of a target and its origin. It is read-only.
 type Response struct {
-	forward.Answer
+	forward.Response
 	// Place and Target are the values of the response headers that name them.
 	Place, Target []string
 }
@@ -24,7 +24,7 @@
 // reserved bytes.
 func clone(r *Response) *Response {
 	return &Response{
-		Answer: forward.Answer{
+		Response: forward.Response{
 			Status: r.Status,
 			Header: r.Header.Clone(),
 			Body:   bytes.Clone(r.Body),
--- a/proxy/kept/store_test.go
+++ b/proxy/kept/store_test.go
@@ -16,7 +16,7 @@
 		s := New(Options{MaxBytes: 1 << 20})
 		key := keys.Key{Account: "daehan", Service: "dealer-desk", Text: "o-1"}
 		entry, _ := s.Begin(key, Fingerprint{})
-		s.End(entry, &Response{Answer: forward.Answer{Status: http.StatusOK, Body: []byte("ok")}})
+		s.End(entry, &Response{Response: forward.Response{Status: http.StatusOK, Body: []byte("ok")}})
 		time.Sleep(DefaultRetention - time.Second)
 		repeated, first := s.Begin(key, Fingerprint{})
 		if response, _, err := repeated.Wait(t.Context()); first || response == nil || err != nil {
--- a/proxy/repeat.go
+++ b/proxy/repeat.go
@@ -66,7 +66,7 @@
 // replay returns the original answer as the response to a repeat.
 func (p *Proxy) replay(q *request, answer *kept.Response) response {
 	q.service.state.metrics[q.class].keptAnswers.Inc(1)
-	return response{answer: &answer.Answer, place: answer.Place, target: answer.Target}
+	return response{answer: &answer.Response, place: answer.Place, target: answer.Target}
 }
 
 // finishEntry completes the entry of a request. The entry of a request that did
@@ -75,7 +75,7 @@
 func (p *Proxy) finishEntry(entry *kept.Entry, q *request, resp response) {
 	switch {
 	case resp.answer != nil:
-		p.kept.End(entry, &kept.Response{Answer: *resp.answer, Place: resp.place, Target: resp.target})
+		p.kept.End(entry, &kept.Response{Response: *resp.answer, Place: resp.place, Target: resp.target})
 	case !q.claimed || isNotRun(resp.refusal.code):
 		p.kept.Drop(entry)
 	default:
--- a/proxy/reserve.go
+++ b/proxy/reserve.go
@@ -12,9 +12,9 @@
 // which are refused or are for another handler of the node.
 const maxUnroutedBodyBytes = 64 << 10
 
-var _ ingress.Bodies = (*Proxy)(nil)
+var _ ingress.BodyAdmitter = (*Proxy)(nil)
 
-// ReserveBody implements ingress.Bodies. It refuses a body above the service's
+// ReserveBody implements ingress.BodyAdmitter. It refuses a body above the service's
 // limit or the account's free memory before it is read. The whole length is
 // reserved at once, so that uploads cannot deadlock on memory.
 func (p *Proxy) ReserveBody(h http.Header, length int64) (ingress.Reservation, result.Code) {
@@ -23,7 +23,7 @@
 		if length > maxUnroutedBodyBytes {
 			return ingress.Reservation{}, result.RequestTooLarge
 		}
-		return ingress.Reservation{Limit: maxUnroutedBodyBytes}, result.OK
+		return ingress.Reservation{MaxBytes: maxUnroutedBodyBytes}, result.OK
 	}
 	limit := requestLimit(service.service)
 	if length < 0 {
@@ -40,11 +40,11 @@
 		return ingress.Reservation{}, result.BufferFull
 	}
 	release := func() { account.bytes.Give(length) }
-	reservation := ingress.Reservation{Time: timeout, Limit: limit, Release: release}
+	reservation := ingress.Reservation{Timeout: timeout, MaxBytes: limit, Release: release}
 	// Requests with a key are buffered in full, since repeats are compared by
 	// the body.
 	if length > p.options.StreamOverBytes && h.Get(result.HeaderKey) == "" {
-		reservation.Ahead = min(service.state.sendTime.estimate(length), p.options.StreamAhead)
+		reservation.LeadTime = min(service.state.sendTime.estimate(length), p.options.StreamAhead)
 	}
 	return reservation, result.OK
 }
--- a/proxy/response.go
+++ b/proxy/response.go
@@ -8,7 +8,7 @@
 // response is what a caller gets: the complete answer of a target, or a
 // refusal.
 type response struct {
-	answer *forward.Answer
+	answer *forward.Response
 	// place and target are the header values that name where the answer came
 	// from.
 	place, target []string
--- a/proxy/upload_test.go
+++ b/proxy/upload_test.go
@@ -147,8 +147,8 @@
 func TestUploadsWithSameKeyAreCompared(t *testing.T) {
 	p, s, targets := serveUploads(t, respondChecksum)
 	fields := http.Header{result.HeaderAccount: {testAccount}, result.HeaderService: {testService}, result.HeaderKey: {"o-1"}}
-	if reservation, code := p.ReserveBody(fields, 2*halfBytes); code != result.OK || reservation.Ahead != 0 {
-		t.Errorf("code %d, streamed %s ahead", code, reservation.Ahead)
+	if reservation, code := p.ReserveBody(fields, 2*halfBytes); code != result.OK || reservation.LeadTime != 0 {
+		t.Errorf("code %d, streamed %s ahead", code, reservation.LeadTime)
 	} else {
 		reservation.Release()
 	}
--- a/proxy/write.go
+++ b/proxy/write.go
@@ -41,7 +41,7 @@
 	h[result.HeaderOutcome] = okOutcome
 	h[result.HeaderPlace] = resp.place
 	h[result.HeaderTarget] = resp.target
-	if length := resp.answer.LengthField(); length != nil {
+	if length := resp.answer.ContentLengthHeader(); length != nil {
 		h["Content-Length"] = length
 	}
 	w.WriteHeader(sendableStatus(h, resp.answer.Status))
