--- a/spread/compare.go
+++ b/spread/compare.go
@@ -11,36 +11,36 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// maxRounds bounds one repair. Each round moves at least one chunk, so this is
-// 64 MiB; what is left waits for the next comparison.
-const maxRounds = 256
+// maxRepairRounds bounds one repair. Each round transfers at least one chunk;
+// the next comparison handles the remainder.
+const maxRepairRounds = 256
 
-// comparison is what one exchange with a peer found.
+// comparison is the result of one comparison with a peer.
 type comparison struct {
-	// equal tells that both had the same states at first.
+	// equal reports whether both nodes held the same states at the start.
 	equal bool
-	// ready tells that the peer itself has learned from others.
+	// ready reports whether the peer has synchronized with other nodes itself.
 	ready bool
-	// pulled and pushed count the items that moved.
+	// pulled and pushed count the transferred items.
 	pulled int
 	pushed int
 }
 
-// compareWith makes this node and a peer hold the same states. Each call of it
-// is bounded by two heartbeats.
+// compareWith synchronizes this node with a peer. Each RPC times out after two
+// heartbeats.
 func (s *Service) compareWith(ctx context.Context, m topology.Member) (comparison, error) {
 	var c comparison
 	client, err := s.client(m)
 	if err != nil {
 		return c, err
 	}
-	for round := range maxRounds {
+	for round := range maxRepairRounds {
 		first, err := s.exchange(ctx, client, &peerpb.CompareRequest{})
 		if err != nil {
 			return c, errors.Wrapf(err, "spread: compare with %s", m.VM)
 		}
 		c.ready = first.GetReady()
-		s.heard.set(m.VM, 0, first.GetEqual())
+		s.peers.record(m.VM, 0, first.GetEqual())
 		if first.GetEqual() {
 			c.equal = round == 0
 			return c, nil
@@ -56,10 +56,10 @@
 	return c, nil
 }
 
-// repair moves what differs, at most a chunk from the peer; more tells that
-// there is a further one.
+// repair transfers the differing items, receiving at most one chunk. more
+// reports whether the peer has further chunks.
 func (s *Service) repair(ctx context.Context, client peerpb.SpreadClient, m topology.Member, first *peerpb.CompareResponse, c *comparison) (more bool, err error) {
-	req := s.differing(first.GetBucketDigests())
+	req := s.bucketRequest(first.GetBucketDigests())
 	if len(req.Buckets) == 0 {
 		return false, nil
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return false, err
 	}
-	if err := s.applyAll(res.GetItems(), s.server.waiterOf(m.VM)); err != nil {
+	if err := s.applyAll(res.GetItems(), s.server.queueOf(m.VM)); err != nil {
 		return false, err
 	}
 	c.pulled += len(res.GetItems())
@@ -80,10 +80,10 @@
 	return res.GetMore(), nil
 }
 
-// differing asks for the buckets whose digests are not those of the node. What
-// arrived and waits is had too: a repair of many messages would else begin anew
-// with each.
-func (s *Service) differing(digests []uint64) *peerpb.CompareRequest {
+// bucketRequest requests the buckets whose digests differ. The versions the
+// node already has include received content whose item is still pending, so
+// that a repair of several messages makes progress.
+func (s *Service) bucketRequest(digests []uint64) *peerpb.CompareRequest {
 	snap := s.Snapshot()
 	req := &peerpb.CompareRequest{}
 	for i, digest := range digests {
@@ -94,7 +94,7 @@
 		snap.Bucket(i, func(it item.Item) {
 			req.Have = append(req.Have, versionOf(it))
 		})
-		for _, it := range s.hub.arrivedIn(i) {
+		for _, it := range s.hub.receivedIn(i) {
 			req.Have = append(req.Have, versionOf(it))
 		}
 	}
@@ -112,7 +112,7 @@
 	return contentLast(out)
 }
 
-// exchange makes one call with the node's name and digest filled in.
+// exchange sends a Compare RPC with this node's reference and digest.
 func (s *Service) exchange(ctx context.Context, client peerpb.SpreadClient, req *peerpb.CompareRequest) (*peerpb.CompareResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.callTimeout())
 	defer cancel()
@@ -121,7 +121,7 @@
 	return client.Compare(ctx, req)
 }
 
-// callTimeout bounds one call to a peer.
+// callTimeout bounds one RPC to a peer.
 func (s *Service) callTimeout() time.Duration { return 2 * s.options.Heartbeat }
 
 func (s *Service) client(m topology.Member) (peerpb.SpreadClient, error) {
--- a/spread/contents.go
+++ b/spread/contents.go
@@ -8,44 +8,41 @@
 	"github.com/yuccaroute/yuccaroute/spread/item"
 )
 
-// contents keeps items together with the content that they name. The hub's lock
-// guards it.
+// contents tracks references from items to content. The hub's lock guards it.
 //
-// An item that names content which is not there is kept aside, and the state
-// before stays in the table. So the table never shows a new account with old
-// blocks or without any, and a node that serves an item can serve its content.
+// An item that references missing content stays pending and the previous state
+// stays in the table, so the table never exposes an item without its content.
 type contents struct {
-	names func(key string, body []byte) []content.Name
-	// named counts the items in the table that name a content's key.
-	named map[string]int
-	// waiting holds, for each key, the states that lack content, at most
-	// maxWaiting, the latest last. An earlier one is not given up for a later
-	// one: the content of the later one may be lost together with those who had
-	// it, and the earlier one is better than what is in the table.
-	waiting map[string][]*waitingItem
+	contentNames func(key string, body []byte) []content.Name
+	// refCounts counts the items in the table that reference each content key.
+	refCounts map[string]int
+	// pending holds, for each key, at most maxPendingPerKey states with missing
+	// content, latest last. Earlier states are kept because the content of a
+	// later one may never arrive.
+	pending map[string][]*pendingItem
 }
 
-// maxWaiting bounds the states of one key that wait.
-const maxWaiting = 4
+// maxPendingPerKey bounds the pending states of one key.
+const maxPendingPerKey = 4
 
-// waitingItem is a state that lacks content.
-type waitingItem struct {
-	item  item.Item
-	needs []string
-	// arrived holds the content that came for this state and is not in the table.
-	arrived map[string]item.Item
+// pendingItem is a state with missing content.
+type pendingItem struct {
+	item        item.Item
+	contentKeys []string
+	// received holds content for this state that is not in the table yet.
+	received map[string]item.Item
 }
 
-func newContents(names func(string, []byte) []content.Name) *contents {
-	return &contents{names: names, named: map[string]int{}, waiting: map[string][]*waitingItem{}}
+func newContents(contentNames func(string, []byte) []content.Name) *contents {
+	return &contents{contentNames: contentNames, refCounts: map[string]int{}, pending: map[string][]*pendingItem{}}
 }
 
-// needs returns the keys of the content that a state names.
-func (c *contents) needs(it item.Item) []string {
+// contentKeys returns the sorted keys of the content that a state references.
+func (c *contents) contentKeys(it item.Item) []string {
 	if it.Deleted || content.IsKey(it.Key) {
 		return nil
 	}
-	names := c.names(it.Key, it.Body)
+	names := c.contentNames(it.Key, it.Body)
 	keys := make([]string, 0, len(names))
 	for _, name := range names {
 		keys = append(keys, name.Key())
@@ -54,68 +51,70 @@
 	return slices.Compact(keys)
 }
 
-// wait keeps a state aside, with what arrived for other states of the key.
-func (c *contents) wait(it item.Item, needs []string) *waitingItem {
-	w := &waitingItem{item: it, needs: needs, arrived: map[string]item.Item{}}
-	states := c.waiting[it.Key]
+// addPending adds a pending state and reuses content received for other states
+// of the key.
+func (c *contents) addPending(it item.Item, contentKeys []string) *pendingItem {
+	p := &pendingItem{item: it, contentKeys: contentKeys, received: map[string]item.Item{}}
+	states := c.pending[it.Key]
 	for _, other := range states {
 		if other.item.Sum == it.Sum {
 			return other
 		}
-		for key, held := range other.arrived {
-			if w.needsKey(key) {
-				w.arrived[key] = held
+		for key, held := range other.received {
+			if p.needsKey(key) {
+				p.received[key] = held
 			}
 		}
 	}
-	states = append(states, w)
-	slices.SortFunc(states, func(a, b *waitingItem) int {
+	states = append(states, p)
+	slices.SortFunc(states, func(a, b *pendingItem) int {
 		if a.item.NewerThan(b.item) {
 			return 1
 		}
 		return -1
 	})
-	if len(states) > maxWaiting {
+	if len(states) > maxPendingPerKey {
 		states = slices.Clone(states[1:])
 	}
-	c.waiting[it.Key] = states
-	return w
+	c.pending[it.Key] = states
+	return p
 }
 
-// settle ends the waiting of a state and of all before it.
-func (c *contents) settle(it item.Item) {
-	later := slices.DeleteFunc(c.waiting[it.Key], func(w *waitingItem) bool { return !w.item.NewerThan(it) })
+// removeUpTo removes the pending states of a key up to and including the given
+// version.
+func (c *contents) removeUpTo(it item.Item) {
+	later := slices.DeleteFunc(c.pending[it.Key], func(p *pendingItem) bool { return !p.item.NewerThan(it) })
 	if len(later) == 0 {
-		delete(c.waiting, it.Key)
+		delete(c.pending, it.Key)
 		return
 	}
-	c.waiting[it.Key] = later
+	c.pending[it.Key] = later
 }
 
-// arrive gives content to the states that wait for it and returns those, of one
-// key the latest last.
-func (c *contents) arrive(it item.Item) []*waitingItem {
-	var given []*waitingItem
-	for _, key := range slices.Sorted(maps.Keys(c.waiting)) {
-		for _, w := range c.waiting[key] {
-			if w.needsKey(it.Key) {
-				w.arrived[it.Key] = it
-				given = append(given, w)
+// addContent adds content to the pending states that reference it and returns
+// those states, latest last for each key.
+func (c *contents) addContent(it item.Item) []*pendingItem {
+	var updated []*pendingItem
+	for _, key := range slices.Sorted(maps.Keys(c.pending)) {
+		for _, p := range c.pending[key] {
+			if p.needsKey(it.Key) {
+				p.received[it.Key] = it
+				updated = append(updated, p)
 			}
 		}
 	}
-	return given
+	return updated
 }
 
-func (w *waitingItem) needsKey(key string) bool {
-	_, needed := slices.BinarySearch(w.needs, key)
+func (p *pendingItem) needsKey(key string) bool {
+	_, needed := slices.BinarySearch(p.contentKeys, key)
 	return needed
 }
 
-// complete reports whether all that a state names is there.
-func (w *waitingItem) complete(table *item.Snapshot) bool {
-	for _, key := range w.needs {
-		if _, ok := w.arrived[key]; ok {
+// complete reports whether all referenced content is available.
+func (p *pendingItem) complete(table *item.Snapshot) bool {
+	for _, key := range p.contentKeys {
+		if _, ok := p.received[key]; ok {
 			continue
 		}
 		if _, ok := table.Get(key); !ok {
@@ -125,29 +124,30 @@
 	return true
 }
 
-// replace counts the names of a state in place of those of the one before, and
-// returns the content that nothing names any more.
-func (c *contents) replace(before, after []string) (unnamed []string) {
+// updateReferences replaces the references of one state by those of another and
+// returns the keys that are no longer referenced.
+func (c *contents) updateReferences(before, after []string) (unreferenced []string) {
 	for _, key := range after {
-		c.named[key]++
+		c.refCounts[key]++
 	}
 	for _, key := range before {
-		c.named[key]--
-		if c.named[key] == 0 {
-			delete(c.named, key)
-			unnamed = append(unnamed, key)
+		c.refCounts[key]--
+		if c.refCounts[key] == 0 {
+			delete(c.refCounts, key)
+			unreferenced = append(unreferenced, key)
 		}
 	}
-	return unnamed
+	return unreferenced
 }
 
-// arrivedIn returns the content of one bucket that is here but not in the table yet.
-func (c *contents) arrivedIn(bucket int) []item.Item {
+// receivedIn returns received content of one bucket that is not in the table
+// yet.
+func (c *contents) receivedIn(bucket int) []item.Item {
 	seen := map[string]bool{}
 	var out []item.Item
-	for _, states := range c.waiting {
-		for _, w := range states {
-			for key, it := range w.arrived {
+	for _, states := range c.pending {
+		for _, p := range states {
+			for key, it := range p.received {
 				if item.BucketOf(key) == bucket && !seen[key] {
 					seen[key] = true
 					out = append(out, it)
@@ -158,8 +158,8 @@
 	return out
 }
 
-// contentLast puts content behind the items that name it: a receiver takes
-// content only when it knows what for.
+// contentLast sorts content after the items that reference it, because a
+// receiver refuses unreferenced content.
 func contentLast(items []item.Item) []item.Item {
 	slices.SortStableFunc(items, func(a, b item.Item) int {
 		return rank(a) - rank(b)
--- a/spread/contents_test.go
+++ b/spread/contents_test.go
@@ -13,20 +13,19 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// contentBytes is about what the caller blocks of an account of today are, in
-// sets that do not fit one message together.
+// contentBytes is chosen so that several contents exceed one message.
 const contentBytes = 100_000
 
-// namesMark begins the body of a test's item that names content.
-var namesMark = []byte("names:")
+// namesPrefix starts the body of a test item that references content.
+var namesPrefix = []byte("names:")
 
-// naming returns a state of the account that names the contents of the numbers
-// given, and these contents.
-func naming(sequence uint64, numbers ...int) (item.Item, []item.Item) {
-	body := append(slices.Clone(namesMark), byte(len(numbers)))
+// accountWithContents returns a state of the account that references the
+// numbered contents, and these contents.
+func accountWithContents(sequence uint64, numbers ...int) (item.Item, []item.Item) {
+	body := append(slices.Clone(namesPrefix), byte(len(numbers)))
 	var contents []item.Item
 	for _, number := range numbers {
-		one := contentNumber(number)
+		one := randomContent(number)
 		name := content.NameOf(one)
 		body = append(body, name[:]...)
 		contents = append(contents, item.New(name.Key(), 0, 0, one))
@@ -34,8 +33,8 @@
 	return item.New("account/daehan", 1, sequence, fmt.Appendf(body, "state %d", sequence)), contents
 }
 
-// contentNumber makes bytes that do not compress.
-func contentNumber(number int) []byte {
+// randomContent returns incompressible bytes.
+func randomContent(number int) []byte {
 	var seed [32]byte
 	seed[0] = byte(number)
 	body := make([]byte, contentBytes)
@@ -44,7 +43,7 @@
 }
 
 func testNames(_ string, body []byte) []content.Name {
-	rest, found := bytes.CutPrefix(body, namesMark)
+	rest, found := bytes.CutPrefix(body, namesPrefix)
 	if !found {
 		return nil
 	}
@@ -56,16 +55,16 @@
 	return names
 }
 
-// putNaming puts a state and its contents into the store.
-func (f *testFleet) putNaming(sequence uint64, numbers ...int) item.Item {
-	it, contents := naming(sequence, numbers...)
+// putWithContents writes a state and its contents to the store.
+func (f *testFleet) putWithContents(sequence uint64, numbers ...int) item.Item {
+	it, contents := accountWithContents(sequence, numbers...)
 	f.store.put(append(contents, it)...)
 	return it
 }
 
-// mustHoldContent fails if a node shows an item without the content it names, or
-// keeps content that nothing names.
-func (f *testFleet) mustHoldContent() {
+// mustHaveConsistentContent fails if a node exposes an item without its
+// content, or keeps unreferenced content.
+func (f *testFleet) mustHaveConsistentContent() {
 	f.t.Helper()
 	for vm, n := range f.nodes {
 		named := map[string]bool{}
@@ -74,122 +73,118 @@
 			for _, name := range testNames(it.Key, it.Body) {
 				named[name.Key()] = true
 				if _, ok := held.Get(name.Key()); !ok {
-					f.t.Fatalf("%s shows %s %d without its content", vm, it.Key, it.Sequence)
+					f.t.Fatalf("%s has %s %d without its content", vm, it.Key, it.Sequence)
 				}
 			}
 		}
 		if n := len(held.Prefix(content.Prefix)); n != len(named) {
-			f.t.Fatalf("%s keeps %d contents, %d are named", vm, n, len(named))
+			f.t.Fatalf("%s keeps %d contents, %d are referenced", vm, n, len(named))
 		}
 	}
 }
 
-// An operator changes the capacity of an account with 300 kB of caller blocks,
-// ten times. Its blocks are the same each time and must not be sent again: they
-// would take the links' whole budget and more.
-func TestUnchangedContentIsNotSent(t *testing.T) {
+// Content blocks that an update leaves unchanged must not be sent again.
+func TestUnchangedContentIsNotResent(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		const changes = 10
-		f.mustSettle(f.putNaming(2, 1, 2, 3))
-		f.net.sentSince()
-		f.after(changes * time.Second)
-		idle := f.net.sentSince()
+		f.mustConverge(f.putWithContents(2, 1, 2, 3))
+		f.net.takeSentBytes()
+		f.advance(changes * time.Second)
+		idle := f.net.takeSentBytes()
 		var last item.Item
 		for i := range changes {
-			last = f.putNaming(uint64(3+i), 1, 2, 3)
-			f.after(time.Second)
+			last = f.putWithContents(uint64(3+i), 1, 2, 3)
+			f.advance(time.Second)
 		}
 		f.mustHave(last)
-		sum, most := 0, 0
-		for address, n := range f.net.sentSince() {
+		sum, worst := 0, 0
+		for address, n := range f.net.takeSentBytes() {
 			sum += n - idle[address]
-			most = max(most, n-idle[address])
+			worst = max(worst, n-idle[address])
 		}
-		// An item is its body, its key and version, and the digests beside it.
-		mean, relay := sum/changes/len(f.nodes), most/changes
+		// The size of an item is its body, key, version and the digests sent
+		// along.
+		mean, relay := sum/changes/len(f.nodes), worst/changes
 		size := len(last.Body) + 100
 		f.t.Logf("item of %d B: mean node %d, worst %d B a change", len(last.Body), mean, relay)
 		if mean > 2*size || relay > 21*size {
-			f.t.Errorf("mean node sends %d, worst %d B a change of an item of %d B", mean, relay, len(last.Body))
+			f.t.Errorf("sent per change: mean node %d B, worst node %d B, for an item of %d B", mean, relay, len(last.Body))
 		}
 	})
 }
 
-// mustSettle waits until the item is everywhere.
-func (f *testFleet) mustSettle(it item.Item) {
+// mustConverge waits until all nodes have the item and its content.
+func (f *testFleet) mustConverge(it item.Item) {
 	f.t.Helper()
-	f.after(inForce)
+	f.advance(convergeTimeout)
 	f.mustHave(it)
-	f.mustHoldContent()
+	f.mustHaveConsistentContent()
 }
 
-// Streams bring the new state of an account, but its blocks are lost on the way.
-// The state before must stay in force, with its blocks, until the new ones are
-// there too; within the 8 s they must come by comparison.
+// When content is lost on the streams, the previous state must stay active
+// until a comparison has fetched the content.
 func TestLostContent(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		before := f.putNaming(2, 1)
-		f.mustSettle(before)
-		f.net.setLose(func(_, _, key string) bool { return content.IsKey(key) })
-		f.neverBack("account/")
-		after := f.putNaming(3, 2)
+		before := f.putWithContents(2, 1)
+		f.mustConverge(before)
+		f.net.setDrop(func(_, _, key string) bool { return content.IsKey(key) })
+		f.requireMonotonic("account/")
+		after := f.putWithContents(3, 2)
 		for range 100 {
-			f.after(time.Millisecond)
-			f.mustHoldContent()
+			f.advance(time.Millisecond)
+			f.mustHaveConsistentContent()
 		}
-		f.mustSettle(after)
+		f.mustConverge(after)
 	})
 }
 
-// A relay passes on an account's new state and dies before it passes on the
-// blocks. Its subscribers have half of the change; they must stay with the state
-// before and get the whole from the next relay.
+// When a relay dies between sending an item and its content, its subscribers
+// must keep the previous state and get the complete change from another relay.
 func TestRelayDiesBetweenItemAndContent(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		f.mustSettle(f.putNaming(2, 1))
+		f.mustConverge(f.putWithContents(2, 1))
 		relay := f.byRole(topology.Relay)
 		waits := 0
-		f.net.setLose(func(from, _, key string) bool { return from == relay.member.Address && content.IsKey(key) })
+		f.net.setDrop(func(from, _, key string) bool { return from == relay.member.Address && content.IsKey(key) })
 		f.net.setBlocked(func(from, _ string) bool { return from == relay.member.Address && waits > 0 })
-		after := f.putNaming(3, 2, 3, 4, 5)
+		after := f.putWithContents(3, 2, 3, 4, 5)
 		for waits == 0 {
-			f.after(time.Millisecond)
+			f.advance(time.Millisecond)
 			for _, n := range f.nodes {
-				if n.hub.lacksContent() && follows(n, relay) {
+				if n.hub.lacksContent() && isUpstreamOf(n, relay) {
 					waits++
 				}
 			}
 		}
-		f.mustHoldContent()
+		f.mustHaveConsistentContent()
 		f.kill(relay)
-		f.mustSettle(after)
+		f.mustConverge(after)
 	})
 }
 
-func follows(n, upstream *testNode) bool {
-	vm, _ := n.follows[0].state()
+func isUpstreamOf(n, upstream *testNode) bool {
+	vm, _ := n.subscriptions[0].state()
 	return vm == upstream.member.VM
 }
 
-// VMs start while the store is out. They must learn an account and all its
-// blocks, which take several messages, from peers before they are ready.
+// VMs that start during a store outage must learn an account and its content
+// from peers before they are ready.
 func TestNewNodesLearnContent(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		want := f.putNaming(2, 1, 2, 3, 4, 5, 6)
-		f.mustSettle(want)
-		f.store.setOut(true)
+		want := f.putWithContents(2, 1, 2, 3, 4, 5, 6)
+		f.mustConverge(want)
+		f.store.setUnavailable(true)
 		f.mustLearn([]*testNode{f.start(f.addVM("r1", "r1-p0")), f.start(f.addVM("r2", "r2-p0"))}, want)
-		f.mustHoldContent()
+		f.mustHaveConsistentContent()
 	})
 }
 
-// A VM that starts reaches a single peer, and the blocks of an account take three
-// messages. Each message must bring what is lacking still; if each began anew,
-// the account would never be in force.
-func TestContentOfSeveralMessages(t *testing.T) {
+// Content that takes several messages must be completed by a single comparison;
+// a repair must not restart with each message.
+func TestContentInSeveralMessages(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		want := f.putNaming(2, 1, 2, 3, 4, 5, 6)
-		f.mustSettle(want)
+		want := f.putWithContents(2, 1, 2, 3, 4, 5, 6)
+		f.mustConverge(want)
 		peer := f.byRole(topology.Leaf)
 		fresh := f.start(f.addVM("r1", "r1-p0"))
 		fresh.stop()
@@ -201,36 +196,33 @@
 	})
 }
 
-// An operator changes the blocks of an account and, an hour later, takes the
-// change back. The earlier blocks were dropped everywhere; they must come back,
-// and nobody may keep those of the change.
-func TestChangeBackToEarlierContent(t *testing.T) {
+// Content that was removed must be distributed again when a later state
+// references it, and unreferenced content must be removed.
+func TestRevertToEarlierContent(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		f.neverBack("account/")
-		f.mustSettle(f.putNaming(2, 1, 2))
-		f.mustSettle(f.putNaming(3, 2, 3))
-		f.after(time.Hour)
-		f.mustSettle(f.putNaming(4, 1, 2))
+		f.requireMonotonic("account/")
+		f.mustConverge(f.putWithContents(2, 1, 2))
+		f.mustConverge(f.putWithContents(3, 2, 3))
+		f.advance(time.Hour)
+		f.mustConverge(f.putWithContents(4, 1, 2))
 		f.store.put(item.New("account/daehan", 1, 5, nil))
-		f.after(inForce)
-		f.mustHoldContent()
+		f.advance(convergeTimeout)
+		f.mustHaveConsistentContent()
 	})
 }
 
-// The watchers that read a change die before its blocks left them, and the store
-// goes out. A state between the two, which other nodes have whole, must not be
-// held up by the later one that nobody can complete.
-func TestLaterStateThatCannotBeCompleted(t *testing.T) {
+// A later state whose content is lost must not block an earlier complete state.
+func TestIncompleteStateDoesNotBlockEarlier(t *testing.T) {
 	h := newHub(testNames)
-	last, _ := naming(4, 4)
-	between, contents := naming(3, 3)
+	last, _ := accountWithContents(4, 4)
+	between, contents := accountWithContents(3, 3)
 	for _, it := range []item.Item{last, between, contents[0]} {
 		h.apply(it, nil)
 	}
 	if got, _ := h.table.Snapshot().Get(between.Key); got.Sum != between.Sum {
 		t.Fatalf("state %d is in the table, not 3", got.Sequence)
 	}
-	_, contents = naming(4, 4)
+	_, contents = accountWithContents(4, 4)
 	h.apply(contents[0], nil)
 	if got, _ := h.table.Snapshot().Get(last.Key); got.Sum != last.Sum || h.table.Snapshot().Len() != 2 || h.lacksContent() {
 		t.Fatalf("state %d is in the table with %d items, not 4 with its content", got.Sequence, h.table.Snapshot().Len())
--- a/spread/convert.go
+++ b/spread/convert.go
@@ -10,23 +10,22 @@
 	"github.com/yuccaroute/yuccaroute/spread/item"
 )
 
-// Limits of an item. A body may be larger than a value of the store: the
-// account made from a template and parameters that are each within the store's
-// limit must be in force once they are accepted.
+// Limits of an item. A body may exceed the store's value size, because an
+// account is expanded from a template and parameters that are stored
+// separately.
 const (
 	MaxKeyBytes  = 1 << 10
 	MaxBodyBytes = 3 << 20
 )
 
-// chunkBytes is how many bytes of items go into one message before the next
-// is begun.
+// chunkBytes is the size of items after which a message is closed.
 const chunkBytes = 256 << 10
 
-// itemOverheadBytes is the size of an item on the wire without key and body.
+// itemOverheadBytes is the encoded size of an item without key and body.
 const itemOverheadBytes = 40
 
-// check refuses an item that can't be sent to others.
-func check(key string, body []byte) error {
+// validate rejects an item that cannot be sent to peers.
+func validate(key string, body []byte) error {
 	if key == "" || len(key) > MaxKeyBytes || !utf8.ValidString(key) {
 		return errors.Errorf("spread: key %q is empty, too long or not UTF-8", key)
 	}
@@ -34,7 +33,7 @@
 		return errors.Errorf("spread: item %s has %d bytes, at most %d are permitted", key, len(body), MaxBodyBytes)
 	}
 	if content.IsKey(key) && !content.Matches(key, body) {
-		return errors.Errorf("spread: content is not what its key %s names", key)
+		return errors.Errorf("spread: content does not match the hash in its key %s", key)
 	}
 	return nil
 }
@@ -47,10 +46,11 @@
 	return &peerpb.Version{Key: it.Key, Epoch: it.Epoch, Sequence: it.Sequence, Sum: it.Sum}
 }
 
-// fromProto rebuilds an item; its sum is computed anew, not believed.
+// fromProto decodes an item and recomputes its sum, because the sender's sum is
+// not trusted.
 func fromProto(p *peerpb.Item) (item.Item, error) {
 	v := p.GetVersion()
-	if err := check(v.GetKey(), p.GetBody()); err != nil {
+	if err := validate(v.GetKey(), p.GetBody()); err != nil {
 		return item.Item{}, err
 	}
 	body := p.GetBody()
@@ -65,7 +65,7 @@
 	return item.New(v.GetKey(), v.GetEpoch(), v.GetSequence(), body), nil
 }
 
-// chunks divides items into messages of bounded size.
+// chunks splits items into messages of bounded size.
 func chunks(items []item.Item) [][]*peerpb.Item {
 	var out [][]*peerpb.Item
 	var part []*peerpb.Item
--- a/spread/dispatch.go
+++ b/spread/dispatch.go
@@ -8,19 +8,19 @@
 	"github.com/yuccaroute/yuccaroute/spread/item"
 )
 
-// listener is one call to OnItem.
+// listener is one OnItem registration.
 type listener struct {
 	prefix string
 	fn     func(item.Item)
-	// known is false until the listener was given the items that were there.
-	known bool
+	// initialized is set once the listener has received the existing items.
+	initialized bool
 }
 
-// dispatcher calls the listeners from one goroutine, so that they see the
+// dispatcher calls all listeners from one goroutine, so that they see the
 // states of a key in order.
 type dispatcher struct {
-	hub    *hub
-	waiter *waiter
+	hub   *hub
+	queue *changeQueue
 
 	mu        sync.Mutex
 	listeners []*listener
@@ -28,7 +28,7 @@
 }
 
 func newDispatcher(h *hub) *dispatcher {
-	return &dispatcher{hub: h, waiter: h.wait(), added: make(chan struct{}, 1)}
+	return &dispatcher{hub: h, queue: h.subscribe(), added: make(chan struct{}, 1)}
 }
 
 func (d *dispatcher) add(prefix string, fn func(item.Item)) {
@@ -47,24 +47,24 @@
 		case <-ctx.Done():
 			return
 		case <-d.added:
-		case <-d.waiter.ready:
+		case <-d.queue.ready:
 		}
 		d.deliver()
 	}
 }
 
-// deliver passes on what changed. A new listener gets instead all items of the
-// same cut, so it sees no state twice.
+// deliver passes changed items to the listeners. A new listener gets all items
+// of the same snapshot instead, so it sees no state twice.
 func (d *dispatcher) deliver() {
-	changed, snap := d.hub.take(d.waiter)
+	changed, snap := d.hub.take(d.queue)
 	d.mu.Lock()
 	listeners := d.listeners
 	d.mu.Unlock()
 	for _, l := range listeners {
 		items := changed
-		if !l.known {
+		if !l.initialized {
 			items = snap.Prefix(l.prefix)
-			l.known = true
+			l.initialized = true
 		}
 		for _, it := range items {
 			if strings.HasPrefix(it.Key, l.prefix) {
--- a/spread/doc.go
+++ b/spread/doc.go
@@ -1,9 +1,9 @@
-// Package spread carries versioned items (accounts in force, plans, decider
-// addresses) from the few nodes that watch the store to all nodes, and from
-// any node that publishes one to all others.
+// Package spread replicates versioned items (active accounts, plans, decider
+// addresses) to all nodes: from the few nodes that watch the store, and from
+// any node that publishes an item.
 //
-// An item moves down a tree of gRPC streams within milliseconds. What a stream
-// loses - a relay that died, hung or lagged, a paused node, a partition - is
-// repaired by comparing digests, at once where a heartbeat shows a difference
-// and periodically with a random peer.
+// Items propagate down a tree of gRPC streams. Losses caused by failed, hung or
+// outdated relays, paused nodes and partitions are repaired by comparing
+// digests: immediately when a heartbeat reveals a difference, and periodically
+// with the next upstream in order and with a random peer.
 package spread
--- a/spread/faults_test.go
+++ b/spread/faults_test.go
@@ -11,34 +11,36 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// settle is how long a fleet is given to form its tree.
-const settle = 20 * time.Second
+// settleTime is the time a fleet gets to form its tree.
+const settleTime = 20 * time.Second
 
-// inFleet runs a test on a fleet of 3 regions with 2 places of 8 VMs.
+// inFleet runs a test on a fleet of 3 regions with 2 failure domains of 8 VMs
+// each.
 func inFleet(t *testing.T, test func(f *testFleet)) {
 	t.Helper()
 	inFleetOf(t, 3, 2, 8, test)
 }
 
-// inFleetOf runs a test on a fleet of any shape that has formed its tree.
-func inFleetOf(t *testing.T, regions, places, perPlace int, test func(f *testFleet)) {
+// inFleetOf runs a test on a fleet of the given shape after it has formed its
+// tree.
+func inFleetOf(t *testing.T, regions, domains, perDomain int, test func(f *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestFleet(t, regions, places, perPlace)
+		f := newTestFleet(t, regions, domains, perDomain)
 		defer f.stop()
 		f.store.put(account(1))
-		f.after(settle)
+		f.advance(settleTime)
 		f.mustHave(account(1))
 		test(f)
 	})
 }
 
-// An operator's change is accepted by the store. Nothing fails. Few nodes
-// watch the store, all have the change.
+// A change in the store reaches all nodes while only the watchers read the
+// store.
 func TestChangeReachesAll(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		f.store.put(account(2))
-		f.after(time.Second)
+		f.advance(time.Second)
 		f.mustHave(account(2))
 		if n := f.store.watchers(); n != 3*topology.WatchersPerRegion {
 			f.t.Errorf("%d nodes watch the store", n)
@@ -51,8 +53,8 @@
 	})
 }
 
-// A decider anywhere publishes a plan; a node of another region must get it
-// although the store never sees it.
+// A published item must reach nodes in other regions without going through the
+// store.
 func TestPublishedItemReachesAll(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		leaf := f.byRole(topology.Leaf)
@@ -60,14 +62,14 @@
 		if err := leaf.Publish(want.Key, want.Epoch, want.Sequence, want.Body); err != nil {
 			f.t.Fatal(err)
 		}
-		f.after(time.Second)
+		f.advance(time.Second)
 		f.mustHave(want)
 	})
 }
 
-// The watcher that a decider pushes to first hangs. The first plan waits for
-// the timeout; those after it must not.
-func TestPublishPastAHungWatcher(t *testing.T) {
+// A hung watcher may delay the first published item by a timeout, but not later
+// ones.
+func TestPublishWithHungWatcher(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		leaf := f.byRole(topology.Leaf)
 		hung := leaf.plan.Load().Watchers[0].Address
@@ -78,27 +80,26 @@
 				f.t.Fatal(err)
 			}
 			if sequence == 1 {
-				f.after(inForce)
+				f.advance(convergeTimeout)
 			}
-			f.after(time.Second)
+			f.advance(time.Second)
 			f.mustHave(want)
 		}
 	})
 }
 
-// A relay's process is killed while changes arrive. Its subscribers see the
-// stream break and take the next in their order.
+// Subscribers of a killed relay must switch to their next upstream.
 func TestRelayDies(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		f.kill(f.byRole(topology.Relay))
 		f.store.put(account(2))
-		f.after(inForce)
+		f.advance(convergeTimeout)
 		f.mustHave(account(2))
 	})
 }
 
-// A relay hangs: its connections stay open, nothing arrives and nothing fails.
-// Only the missing heartbeats show it.
+// A hung relay, whose connections stay open, must be detected by missing
+// heartbeats.
 func TestRelayHangs(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		hung := f.byRole(topology.Relay)
@@ -106,70 +107,68 @@
 			return from == hung.member.Address || to == hung.member.Address
 		})
 		f.store.put(account(2))
-		f.after(inForce)
-		f.mustFollowOthers(hung)
+		f.advance(convergeTimeout)
+		f.mustNotFollow(hung)
 		delete(f.nodes, hung.member.VM)
 		f.mustHave(account(2))
 		f.nodes[hung.member.VM] = hung
 		f.net.setBlocked(func(string, string) bool { return false })
-		f.after(inForce)
+		f.advance(convergeTimeout)
 		f.mustHave(account(2))
 	})
 }
 
-// All that a relay is sent reaches it a minute late, as its VM is short of
-// processor time, but its own heartbeats are on time and their digest is equal
-// to that of its subscribers: they are late together. Only a node fed by
-// another way shows it, and they must leave.
+// An outdated relay whose heartbeats are on time has the same digest as its
+// subscribers. They must detect it by comparing with another upstream and leave
+// it.
 func TestRelayLags(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		lags := f.byRole(topology.Relay)
-		f.becomeLate(lags)
+		f.addGrowingDelay(lags)
 		delete(f.nodes, lags.member.VM)
 		late := 0
 		for sequence := uint64(2); sequence < 22; sequence++ {
 			f.store.put(account(sequence))
-			f.after(inForce)
-			late += len(f.lacking(account(sequence)))
+			f.advance(convergeTimeout)
+			late += len(f.nodesLacking(account(sequence)))
 		}
 		f.nodes[lags.member.VM] = lags
 		if late > 0 {
-			f.t.Errorf("%d times a node had a change later than %s", late, inForce)
+			f.t.Errorf("%d changes arrived later than %s", late, convergeTimeout)
 		}
-		f.mustFollowOthers(lags)
+		f.mustNotFollow(lags)
 	})
 }
 
-// A relay lags, and meanwhile other peers hang that its subscriber compares with
-// now and then. Its witness alone can show it that it is out of date: a round
-// left out, or held up by a call to a peer that hangs, makes a change late.
-func TestHungPeersDoNotDelayTheWitness(t *testing.T) {
+// Hung peers must neither skip nor delay comparisons with the alternate
+// upstream, since only those reveal an outdated relay.
+func TestHungPeersDoNotDelayAlternateComparison(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		// By then all that started with a later choice are back at their first.
-		f.after(2 * time.Minute)
+		// Wait until all nodes have returned to their preferred upstream.
+		f.advance(2 * time.Minute)
 		leaf := f.byRole(topology.Leaf)
 		plan := leaf.plan.Load()
-		witness, _ := leaf.alternate(plan)
+		alternate, _ := leaf.alternateUpstream(plan)
 		first := plan.Upstreams[0][0]
 		f.net.setBlocked(func(from, to string) bool {
-			other := func(address string) bool { return address != witness.Address && address != first.Address }
+			other := func(address string) bool { return address != alternate.Address && address != first.Address }
 			return from == leaf.member.Address && other(to) || to == leaf.member.Address && other(from)
 		})
-		longest := time.Duration(float64(DefaultCompareInterval)*(1+jitterShare)) + 2*linkDelay
+		longest := time.Duration(float64(DefaultCompareInterval)*(1+jitterFraction)) + 2*linkDelay
 		for range 300 {
-			f.after(time.Second)
+			f.advance(time.Second)
 			for _, peer := range leaf.Status().Peers {
-				if peer.VM == witness.VM && peer.LastContactAge > longest {
-					f.t.Fatalf("witness %s heard %s ago, want at most %s", peer.VM, peer.LastContactAge, longest)
+				if peer.VM == alternate.VM && peer.LastContactAge > longest {
+					f.t.Fatalf("last contact with alternate upstream %s was %s ago, want at most %s", peer.VM, peer.LastContactAge, longest)
 				}
 			}
 		}
 	})
 }
 
-// becomeLate makes messages to a node later and later, up to a minute, so that
-// no gap between two of them shows it.
-func (f *testFleet) becomeLate(n *testNode) {
+// addGrowingDelay delays messages to a node increasingly, up to a minute, so
+// that no gap between two messages reveals the delay.
+func (f *testFleet) addGrowingDelay(n *testNode) {
 	var late time.Duration
 	f.net.setDelay(func(from, to string) time.Duration {
 		if to == n.member.Address {
@@ -178,15 +177,15 @@
 		return 0
 	})
 	for range 120 {
-		f.after(time.Second)
+		f.advance(time.Second)
 		f.net.mu.Lock()
 		late += time.Second / 2
 		f.net.mu.Unlock()
 	}
 }
 
-// mustFollowOthers fails if a node receives from the one given.
-func (f *testFleet) mustFollowOthers(bad *testNode) {
+// mustNotFollow fails if any node still receives from bad.
+func (f *testFleet) mustNotFollow(bad *testNode) {
 	f.t.Helper()
 	for vm, n := range f.nodes {
 		if slices.Contains(n.Status().Upstreams, bad.member.VM) {
@@ -195,46 +194,46 @@
 	}
 }
 
-// Both watchers of a region go with their racks, and the list still names
-// them. The relays of the region must find others, or watch themselves.
+// When both watchers of a region are down but still listed, the region's relays
+// must use other watchers or watch the store themselves.
 func TestBothWatchersOfARegionDie(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		for range topology.WatchersPerRegion {
 			f.kill(f.inRegion("r0", topology.Watcher))
 		}
 		f.store.put(account(2))
-		f.after(inForce)
+		f.advance(convergeTimeout)
 		f.mustHave(account(2))
 	})
 }
 
-// As above, with no other region to turn to: a relay must watch the store in
-// their place, and stop when a watcher is back.
+// With no watcher left at all, a relay must watch the store, and stop once a
+// watcher is back.
 func TestAllWatchersDie(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1, 2, 5)
 		defer f.stop()
-		f.after(settle)
+		f.advance(settleTime)
 		first := f.inRegion("r0", topology.Watcher)
 		f.kill(first)
 		f.kill(f.inRegion("r0", topology.Watcher))
 		f.store.put(account(2))
-		f.after(inForce)
+		f.advance(convergeTimeout)
 		f.mustHave(account(2))
 		f.start(first.member)
-		f.after(2 * time.Minute)
+		f.advance(2 * time.Minute)
 		if n := f.store.watchers(); n != 1 {
 			f.t.Errorf("%d nodes watch the store", n)
 		}
 	})
 }
 
-// A relay can reach neither watchers nor other relays, but its subscribers.
-// Its digest is equal to theirs for ever; they must leave it.
-func TestRelayCutOff(t *testing.T) {
+// A relay that reaches only its subscribers has the same digest as they do;
+// they must still leave it.
+func TestIsolatedRelayIsAbandoned(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		// The store can't be its way out.
-		f.store.setOut(true)
+		// Without the store the relay has no other source.
+		f.store.setUnavailable(true)
 		relay := f.byRole(topology.Relay)
 		below := map[string]bool{}
 		for _, ref := range relay.server.list() {
@@ -244,54 +243,53 @@
 			cut := relay.member.Address
 			return from == cut && !below[to] || to == cut && !below[from]
 		})
-		f.after(4 * inForce)
-		f.mustFollowOthers(relay)
+		f.advance(4 * convergeTimeout)
+		f.mustNotFollow(relay)
 	})
 }
 
-// returnsAnHour bounds how often a node tries an upstream that fails each time:
-// the penalties add up to 2, 10, 42, 170 and 470 s, then 300 s each, all less
-// jitter, and a return waits for the next look, a minute apart.
-const returnsAnHour = 16
+// maxReturnsPerHour bounds how often a node retries an upstream that keeps
+// failing. Penalties add up to 2, 10, 42, 170 and 470 s, then grow by 300 s
+// each, less jitter.
+const maxReturnsPerHour = 16
 
-// A relay hangs and recovers every ten seconds for an hour. Its
-// subscribers must not move to and fro with it.
+// Subscribers must not flap with a relay that hangs and recovers repeatedly.
 func TestRelayFlaps(t *testing.T) {
 	inFleetOf(t, 1, 2, 8, func(f *testFleet) {
 		relay := f.byRole(topology.Relay)
 		below := len(relay.server.list())
-		f.net.counted()
+		f.net.takeCounts()
 		for range 180 {
 			f.net.setBlocked(func(from, to string) bool {
 				return from == relay.member.Address || to == relay.member.Address
 			})
-			f.after(10 * time.Second)
+			f.advance(10 * time.Second)
 			f.net.setBlocked(func(string, string) bool { return false })
-			f.after(10 * time.Second)
+			f.advance(10 * time.Second)
 		}
-		moves := f.net.counted()["subscribe "+relay.member.Address]
-		if limit := returnsAnHour * below; moves > limit {
+		moves := f.net.takeCounts()["subscribe "+relay.member.Address]
+		if limit := maxReturnsPerHour * below; moves > limit {
 			f.t.Errorf("%d subscriptions for %d subscribers, at most %d expected", moves, below, limit)
 		}
 	})
 }
 
-// A relay is gone without a trace and the list names it for ten more minutes.
-// Its former subscribers must not give up a stream that works to try it.
+// Subscribers must not leave a working stream to try a dead relay that is still
+// listed.
 func TestDeadRelayStaysListed(t *testing.T) {
 	inFleetOf(t, 2, 2, 6, func(f *testFleet) {
 		relay := f.byRole(topology.Relay)
 		f.net.setBlocked(func(from, to string) bool {
 			return from == relay.member.Address || to == relay.member.Address
 		})
-		// By then all that started with a later choice are back at their first.
-		f.after(2 * time.Minute)
-		f.net.counted()
-		f.after(10 * time.Minute)
-		f.mustFollowOthers(relay)
-		for kind, n := range f.net.counted() {
+		// Wait until all nodes have returned to their preferred upstream.
+		f.advance(2 * time.Minute)
+		f.net.takeCounts()
+		f.advance(10 * time.Minute)
+		f.mustNotFollow(relay)
+		for kind, n := range f.net.takeCounts() {
 			if strings.HasPrefix(kind, "subscribe") {
-				f.t.Errorf("%d times %s while nothing changed", n, kind)
+				f.t.Errorf("%d x %s in an unchanged fleet", n, kind)
 			}
 		}
 	})
@@ -306,12 +304,11 @@
 	return nil
 }
 
-// The watchers of all regions lose each other and the store, as their racks
-// have lost the links out of the region, while other VMs have theirs. Items
-// must still cross, by comparison with random peers.
+// When the watchers of all regions lose each other and the store, items must
+// cross regions by comparisons with random peers.
 func TestRandomPeersBridgeRegions(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		f.store.setOut(true)
+		f.store.setUnavailable(true)
 		region, watches := map[string]string{}, map[string]bool{}
 		for _, n := range f.nodes {
 			region[n.member.Address] = n.member.Region
@@ -324,32 +321,31 @@
 		if err := f.inRegion("r1", topology.Leaf).Publish(want.Key, want.Epoch, want.Sequence, want.Body); err != nil {
 			f.t.Fatal(err)
 		}
-		f.after(2 * time.Minute)
+		f.advance(2 * time.Minute)
 		f.mustHave(want)
 	})
 }
 
-// A region loses the others for an hour, in which 120 changes are accepted.
-// When it returns it must have the last one within seconds, and not get each
-// change in between: that burst would fill the link.
-func TestRegionCutOffForAnHour(t *testing.T) {
+// A region that reconnects after missing many changes must receive only the
+// latest state, not every change.
+func TestRegionIsolatedForAnHour(t *testing.T) {
 	inFleetOf(t, 3, 2, 4, func(f *testFleet) {
 		cut := map[string]bool{}
 		for _, n := range f.nodes {
 			cut[n.member.Address] = n.member.Region == "r0"
 		}
-		// The region's watchers can't reach the store either.
-		f.store.setOut(true)
-		f.after(time.Second)
+		// The isolated watchers have no access to the store either.
+		f.store.setUnavailable(true)
+		f.advance(time.Second)
 		f.net.setBlocked(func(from, to string) bool { return cut[from] != cut[to] })
-		f.net.counted()
+		f.net.takeCounts()
 		writer := f.inRegion("r1", topology.Leaf)
 		for sequence := uint64(2); sequence <= 121; sequence++ {
 			want := account(sequence)
 			if err := writer.Publish(want.Key, want.Epoch, want.Sequence, want.Body); err != nil {
 				f.t.Fatal(err)
 			}
-			f.after(30 * time.Second)
+			f.advance(30 * time.Second)
 		}
 		for _, n := range f.nodes {
 			got, _ := n.Get("account/daehan")
@@ -357,26 +353,26 @@
 				f.t.Fatalf("%s has %d", n.member.VM, got.Sequence)
 			}
 		}
-		// Each watcher of the region tries one other after a pause, and each
-		// attempt takes as long as silence is put up with.
-		attempts := f.net.counted()["attempt"]
+		// Each watcher of the region tries one other at a time, and each
+		// attempt lasts until the silence timeout.
+		attempts := f.net.takeCounts()["attempt"]
 		if limit := 60 * 60 / 6 * topology.WatchersPerRegion; attempts > limit {
 			f.t.Errorf("%d attempts to subscribe within the hour, at most %d expected", attempts, limit)
 		}
-		f.after(inForce)
-		idle := f.net.counted()
+		f.advance(convergeTimeout)
+		idle := f.net.takeCounts()
 		f.net.setBlocked(func(string, string) bool { return false })
-		f.after(inForce)
-		back := f.net.counted()
+		f.advance(convergeTimeout)
+		back := f.net.takeCounts()
 		f.mustHave(account(121))
 		nodes := len(f.nodes) / 3
-		// Each node of the region gets the item once, and at most once more
-		// from its neighbour in a circle of watchers.
+		// Each node of the region receives the item once, and at most once more
+		// from another watcher.
 		if back["update"] > 2*nodes {
-			f.t.Errorf("%d updates for %d nodes that returned", back["update"], nodes)
+			f.t.Errorf("%d updates for %d reconnected nodes", back["update"], nodes)
 		}
 		if back["request"] > idle["request"]+4*nodes {
-			f.t.Errorf("%d requests on return, %d when cut off", back["request"], idle["request"])
+			f.t.Errorf("%d requests after reconnecting, %d while isolated", back["request"], idle["request"])
 		}
 	})
 }
--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -21,19 +21,19 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// inForce is the time within which an accepted change must be in force on
-// every node that can be reached.
-const inForce = 8 * time.Second
+// convergeTimeout is the time within which a change must be active on every
+// reachable node.
+const convergeTimeout = 8 * time.Second
 
-// memStore stands for the store; its revisions only grow unless it is
-// restored.
+// memStore simulates the store; its revisions increase unless a test restores
+// it.
 type memStore struct {
-	mu       sync.Mutex
-	out      bool
-	items    map[string]item.Item
-	changed  chan struct{}
-	watching int
-	// runs counts how often a node began to read.
+	mu          sync.Mutex
+	unavailable bool
+	items       map[string]item.Item
+	changed     chan struct{}
+	watching    int
+	// runs counts the started reads.
 	runs int
 }
 
@@ -50,10 +50,10 @@
 	s.wake()
 }
 
-func (s *memStore) setOut(out bool) {
+func (s *memStore) setUnavailable(out bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.out = out
+	s.unavailable = out
 	s.wake()
 }
 
@@ -75,7 +75,7 @@
 	}()
 	for {
 		s.mu.Lock()
-		out, changed := s.out, s.changed
+		out, changed := s.unavailable, s.changed
 		items := make([]item.Item, 0, len(s.items))
 		for _, it := range s.items {
 			items = append(items, it)
@@ -115,24 +115,25 @@
 	list  membership.List
 	nodes map[string]*testNode
 	lives uint64
-	// lists is the platform's VM list; nil gives every node the fleet's list.
+	// lists simulates the platform's VM list; if nil, every node gets the
+	// fleet's list.
 	lists *listService
 }
 
-func newTestFleet(t *testing.T, regions, places, perPlace int) *testFleet {
-	f := newStoppedFleet(t, regions, places, perPlace)
+func newTestFleet(t *testing.T, regions, domains, perDomain int) *testFleet {
+	f := newStoppedFleet(t, regions, domains, perDomain)
 	for _, m := range topology.FromList(f.list) {
 		f.start(m)
 	}
 	return f
 }
 
-// newStoppedFleet has VMs on which nothing runs yet.
-func newStoppedFleet(t *testing.T, regions, places, perPlace int) *testFleet {
+// newStoppedFleet returns a fleet without running nodes.
+func newStoppedFleet(t *testing.T, regions, domains, perDomain int) *testFleet {
 	f := &testFleet{t: t, net: newNetwork(), store: newMemStore(), nodes: map[string]*testNode{}}
 	for r := range regions {
-		for p := range places {
-			for range perPlace {
+		for p := range domains {
+			for range perDomain {
 				f.addVM(fmt.Sprintf("r%d", r), fmt.Sprintf("r%d-p%d", r, p))
 			}
 		}
@@ -140,15 +141,15 @@
 	return f
 }
 
-func (f *testFleet) addVM(region, place string) topology.Member {
+func (f *testFleet) addVM(region, domain string) topology.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := len(f.list.VMs) + 1
 	vm := membership.VM{
-		ID:     fmt.Sprintf("%s-vm%d", place, n),
+		ID:     fmt.Sprintf("%s-vm%d", domain, n),
 		Role:   membership.RoleEntry,
 		Region: model.RegionName(region),
-		Place:  model.PlaceName(place),
+		Place:  model.PlaceName(domain),
 		Peer:   netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(n >> 8), byte(n)}), 1),
 	}
 	vm.Address = vm.Peer
@@ -164,7 +165,7 @@
 	return f.list
 }
 
-// start begins a new life of a VM, with nothing in its memory.
+// start runs a new incarnation of a VM with empty memory.
 func (f *testFleet) start(m topology.Member) *testNode {
 	f.lives++
 	logger := logrus.New()
@@ -207,14 +208,14 @@
 	return n
 }
 
-// kill ends a node; the list goes on naming it.
+// kill stops a node, which stays in the VM list.
 func (f *testFleet) kill(n *testNode) {
 	n.stop()
 	<-n.done
 	delete(f.nodes, n.member.VM)
 }
 
-// stop ends all nodes.
+// stop stops all nodes.
 func (f *testFleet) stop() {
 	for _, n := range f.nodes {
 		n.stop()
@@ -225,14 +226,14 @@
 	synctest.Wait()
 }
 
-// after lets the time pass and all that is due happen.
-func (f *testFleet) after(d time.Duration) {
+// advance advances the fake clock and waits until all goroutines are idle.
+func (f *testFleet) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// lacking returns the nodes that don't have the item in force.
-func (f *testFleet) lacking(want item.Item) []string {
+// nodesLacking describes the nodes that do not have the item.
+func (f *testFleet) nodesLacking(want item.Item) []string {
 	var out []string
 	for vm, n := range f.nodes {
 		if got, _ := n.Snapshot().Get(want.Key); got.Sum != want.Sum {
@@ -245,12 +246,13 @@
 // mustHave fails if a node lacks the item.
 func (f *testFleet) mustHave(want item.Item) {
 	f.t.Helper()
-	if lacking := f.lacking(want); len(lacking) > 0 {
+	if lacking := f.nodesLacking(want); len(lacking) > 0 {
 		f.t.Fatalf("%s %d.%d is missing on %v", want.Key, want.Epoch, want.Sequence, lacking)
 	}
 }
 
-// byRole returns a node with the role that serves others, if there is one.
+// byRole returns the node of the role with the most subscribers, if there is
+// one.
 func (f *testFleet) byRole(role topology.Role) *testNode {
 	var found *testNode
 	for _, m := range topology.FromList(f.list) {
@@ -265,13 +267,13 @@
 	return found
 }
 
-// account returns a state of one account.
+// account returns a state of the test account.
 func account(sequence uint64) item.Item {
 	return item.New("account/daehan", 1, sequence, fmt.Appendf(nil, "state %d", sequence))
 }
 
-// begun returns how often a node began to read since the last call.
-func (s *memStore) begun() int {
+// takeRuns returns the number of reads started since the last call.
+func (s *memStore) takeRuns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.runs
@@ -279,7 +281,7 @@
 	return n
 }
 
-// watchers returns how many nodes watch the store now.
+// watchers returns the number of nodes that watch the store.
 func (s *memStore) watchers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/spread/hub.go
+++ b/spread/hub.go
@@ -7,24 +7,24 @@
 	"github.com/yuccaroute/yuccaroute/spread/item"
 )
 
-// hub is the node's table together with those who wait for its changes.
+// hub holds the node's table and the queues of its subscribers.
 type hub struct {
 	table *item.Table
 
-	// mu covers a change and the marking of all waiters, so that a waiter's
-	// digest and its items are always of one cut.
+	// mu makes a change and its queueing atomic, so that a subscriber's digest
+	// and items come from the same snapshot.
 	mu       sync.Mutex
-	waiters  map[*waiter]struct{}
+	queues   map[*changeQueue]struct{}
 	contents *contents
 }
 
-func newHub(names func(key string, body []byte) []content.Name) *hub {
-	return &hub{table: item.NewTable(), waiters: map[*waiter]struct{}{}, contents: newContents(names)}
+func newHub(contentNames func(key string, body []byte) []content.Name) *hub {
+	return &hub{table: item.NewTable(), queues: map[*changeQueue]struct{}{}, contents: newContents(contentNames)}
 }
 
-// apply offers an item to the table and marks it for all waiters if it is
-// later than what was there. The waiter from is left out: it sent the item.
-func (h *hub) apply(it item.Item, from *waiter) item.Outcome {
+// apply adds an item that is newer than the current state and queues it for all
+// subscribers except from, which sent it.
+func (h *hub) apply(it item.Item, from *changeQueue) item.Outcome {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if content.IsKey(it.Key) {
@@ -33,101 +33,102 @@
 	if have, found := h.table.Snapshot().Get(it.Key); found && !it.NewerThan(have) {
 		return h.table.Apply(it)
 	}
-	w := h.contents.wait(it, h.contents.needs(it))
-	if !w.complete(h.table.Snapshot()) {
+	p := h.contents.addPending(it, h.contents.contentKeys(it))
+	if !p.complete(h.table.Snapshot()) {
 		return item.Pending
 	}
-	h.accept(w, from)
+	h.accept(p, from)
 	return item.Applied
 }
 
-// applyContent takes content that a waiting state names. All other content is
-// refused: it would come back from peers that lag for as long as they do.
-func (h *hub) applyContent(it item.Item, from *waiter) item.Outcome {
+// applyContent accepts content that a pending state references. Other content
+// is refused, because outdated peers would keep sending content that was
+// removed.
+func (h *hub) applyContent(it item.Item, from *changeQueue) item.Outcome {
 	if _, held := h.table.Snapshot().Get(it.Key); held {
 		return item.Duplicate
 	}
-	given := h.contents.arrive(it)
-	if len(given) == 0 {
+	updated := h.contents.addContent(it)
+	if len(updated) == 0 {
 		return item.Unreferenced
 	}
 	outcome := item.Pending
-	for _, w := range given {
-		if have, found := h.table.Snapshot().Get(w.item.Key); found && !w.item.NewerThan(have) {
+	for _, p := range updated {
+		if have, found := h.table.Snapshot().Get(p.item.Key); found && !p.item.NewerThan(have) {
 			continue
 		}
-		if w.complete(h.table.Snapshot()) {
-			h.accept(w, from)
+		if p.complete(h.table.Snapshot()) {
+			h.accept(p, from)
 			outcome = item.Applied
 		}
 	}
 	return outcome
 }
 
-// accept puts a state into the table, after the content it names and before the
-// content is dropped that nothing names any more: whoever reads the table finds
-// the content of the state he sees. Subscribers get the state first, as they
-// take content only when they know what for.
-func (h *hub) accept(w *waitingItem, from *waiter) {
-	h.contents.settle(w.item)
+// accept stores content before the state that references it, and removes
+// unreferenced content afterwards, so that readers of the table always find a
+// state's content. Subscribers get the state first, because they refuse
+// unreferenced content.
+func (h *hub) accept(p *pendingItem, from *changeQueue) {
+	h.contents.removeUpTo(p.item)
 	var before []string
-	if have, found := h.table.Snapshot().Get(w.item.Key); found {
-		before = h.contents.needs(have)
+	if have, found := h.table.Snapshot().Get(p.item.Key); found {
+		before = h.contents.contentKeys(have)
 	}
-	changed := []string{w.item.Key}
-	for _, key := range w.needs {
-		if it, ok := w.arrived[key]; ok && h.table.Apply(it) == item.Applied {
+	changed := []string{p.item.Key}
+	for _, key := range p.contentKeys {
+		if it, ok := p.received[key]; ok && h.table.Apply(it) == item.Applied {
 			changed = append(changed, key)
 		}
 	}
-	h.table.Apply(w.item)
-	for _, key := range h.contents.replace(before, w.needs) {
+	h.table.Apply(p.item)
+	for _, key := range h.contents.updateReferences(before, p.contentKeys) {
 		h.table.Remove(key)
 	}
-	for waiter := range h.waiters {
-		if waiter != from {
-			waiter.mark(changed...)
+	for queue := range h.queues {
+		if queue != from {
+			queue.add(changed...)
 		}
 	}
 }
 
-// lacksContent reports whether a state waits for content.
+// lacksContent reports whether any state is pending.
 func (h *hub) lacksContent() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.contents.waiting) > 0
+	return len(h.contents.pending) > 0
 }
 
-// arrivedIn returns the content of one bucket that is here and not yet in the
-// table.
-func (h *hub) arrivedIn(bucket int) []item.Item {
+// receivedIn returns received content of one bucket that is not in the table
+// yet.
+func (h *hub) receivedIn(bucket int) []item.Item {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.contents.arrivedIn(bucket)
+	return h.contents.receivedIn(bucket)
 }
 
-// wait adds a waiter, which gets what changes from now on.
-func (h *hub) wait() *waiter {
-	w := newWaiter()
+// subscribe returns a queue that receives all further changes.
+func (h *hub) subscribe() *changeQueue {
+	q := newChangeQueue()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.waiters[w] = struct{}{}
-	return w
+	h.queues[q] = struct{}{}
+	return q
 }
 
-func (h *hub) leave(w *waiter) {
+func (h *hub) unsubscribe(q *changeQueue) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.waiters, w)
+	delete(h.queues, q)
 }
 
-// take empties the waiter and returns its items as they are now, and the
-// snapshot of the same cut.
-func (h *hub) take(w *waiter) ([]item.Item, *item.Snapshot) {
+// take drains the queue and returns the current state of its keys and the
+// snapshot they come from.
+func (h *hub) take(q *changeQueue) ([]item.Item, *item.Snapshot) {
 	h.mu.Lock()
-	keys := w.keys
-	w.keys = nil
-	clear(w.marked)
+	keys := q.keys
+	q.keys = nil
+	clear(q.queued)
 	snap := h.table.Snapshot()
 	h.mu.Unlock()
 	items := make([]item.Item, 0, len(keys))
--- a/spread/network_test.go
+++ b/spread/network_test.go
@@ -19,31 +19,32 @@
 
 const (
 	linkDelay = time.Millisecond
-	// blockPoll is how often a message looks whether its link is still cut.
+	// blockPoll is the interval at which a blocked message checks its link.
 	blockPoll = 250 * time.Millisecond
-	// onTheWay is how many Updates of one stream may be on their way.
-	onTheWay = 100
+	// maxInFlight bounds the Updates in flight on one stream.
+	maxInFlight = 100
 )
 
-// network carries calls between nodes in memory, with a delay, and counts
-// their messages.
+// network simulates RPCs between nodes in memory, with delays and message
+// counts.
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]peerpb.SpreadServer
 	// lives holds for each address a context that ends with the process.
 	lives map[string]context.Context
-	// blocked tells that a message gets no further for now: its receiver
-	// hangs, or the link is cut. Nothing shows an error.
+	// blocked reports whether a message is stalled without an error, as with a
+	// hung receiver or a partition.
 	blocked func(from, to string) bool
-	// delay returns the extra delay of messages; those behind are not held up.
+	// delay returns the extra delay of a message; it does not block later
+	// messages.
 	delay    func(from, to string) time.Duration
 	messages map[string]int
 	bytes    int
-	// sent counts the bytes that each address sent.
+	// sent counts the bytes sent by each address.
 	sent map[string]int
-	// lose tells that an item is lost from a stream; nil loses none.
-	lose func(from, to, key string) bool
-	// byNode counts the bytes that each address sent and received.
+	// drop reports whether an item is dropped from a stream; nil drops none.
+	drop func(from, to, key string) bool
+	// byNode counts the bytes sent and received by each address.
 	byNode map[string]int
 }
 
@@ -83,25 +84,25 @@
 	n.delay = f
 }
 
-// setLose sets which items streams lose.
-func (n *network) setLose(f func(from, to, key string) bool) {
+// setDrop sets which items streams drop.
+func (n *network) setDrop(f func(from, to, key string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = f
+	n.drop = f
 }
 
-// keep leaves out what a stream loses.
-func (n *network) keep(from, to string, u *peerpb.Update) {
+// dropLost removes the items that the link drops.
+func (n *network) dropLost(from, to string, u *peerpb.Update) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.lose == nil {
+	if n.drop == nil {
 		return
 	}
-	u.Items = slices.DeleteFunc(u.Items, func(p *peerpb.Item) bool { return n.lose(from, to, p.GetVersion().GetKey()) })
+	u.Items = slices.DeleteFunc(u.Items, func(p *peerpb.Item) bool { return n.drop(from, to, p.GetVersion().GetKey()) })
 }
 
-// sentSince returns the bytes sent by each address since the last call.
-func (n *network) sentSince() map[string]int {
+// takeSentBytes returns the bytes sent by each address since the last call.
+func (n *network) takeSentBytes() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := n.sent
@@ -119,8 +120,8 @@
 	return n.nodes[address], life, nil
 }
 
-// carry takes one message over the link.
-func (n *network) carry(ctx context.Context, kind, from, to string, m proto.Message) error {
+// transmit waits until the link is not blocked and counts the message.
+func (n *network) transmit(ctx context.Context, kind, from, to string, m proto.Message) error {
 	for {
 		n.mu.Lock()
 		blocked := n.blocked(from, to)
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// countedBytes returns the bytes by address since the last call.
-func (n *network) countedBytes() map[string]int {
+// takeBytes returns the bytes by address since the last call.
+func (n *network) takeBytes() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := n.byNode
@@ -158,27 +159,27 @@
 	n.messages[kind]++
 }
 
-// travel returns how long a message is on its way.
-func (n *network) travel(from, to string) time.Duration {
+// latency returns the delay of a message.
+func (n *network) latency(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return linkDelay + n.delay(from, to)
 }
 
-// carryNow takes a message over the link and waits until it is there.
-func (n *network) carryNow(ctx context.Context, kind, from, to string, m proto.Message) error {
-	if err := n.carry(ctx, kind, from, to, m); err != nil {
+// transmitAndWait transmits a message and waits until it has arrived.
+func (n *network) transmitAndWait(ctx context.Context, kind, from, to string, m proto.Message) error {
+	if err := n.transmit(ctx, kind, from, to, m); err != nil {
 		return err
 	}
-	if !wait.For(ctx, n.travel(from, to)) {
+	if !wait.For(ctx, n.latency(from, to)) {
 		return status.FromContextError(ctx.Err()).Err()
 	}
 	return nil
 }
 
-// counted returns the messages since the last call; those that subscribe are
-// counted by the address they go to.
-func (n *network) counted() map[string]int {
+// takeCounts returns the messages by kind since the last call. Subscribe
+// messages are counted by receiver.
+func (n *network) takeCounts() map[string]int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := n.messages
@@ -197,9 +198,9 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := either(ctx, life)
+	ctx, cancel := mergeContexts(ctx, life)
 	defer cancel()
-	if err := l.net.carryNow(ctx, "request", l.from, l.to, args.(proto.Message)); err != nil {
+	if err := l.net.transmitAndWait(ctx, "request", l.from, l.to, args.(proto.Message)); err != nil {
 		return err
 	}
 	var res proto.Message
@@ -214,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.net.carryNow(ctx, kind, l.to, l.from, res); err != nil {
+	if err := l.net.transmitAndWait(ctx, kind, l.to, l.from, res); err != nil {
 		return err
 	}
 	proto.Merge(reply.(proto.Message), res)
@@ -227,18 +228,18 @@
 		return nil, err
 	}
 	l.net.count("attempt")
-	ctx, cancel := either(ctx, life)
-	return &clientStream{link: l, ctx: ctx, cancel: cancel, server: server, updates: make(chan arrival, onTheWay)}, nil
+	ctx, cancel := mergeContexts(ctx, life)
+	return &clientStream{link: l, ctx: ctx, cancel: cancel, server: server, updates: make(chan arrival, maxInFlight)}, nil
 }
 
-// either returns a context that ends with the first of two.
-func either(a, b context.Context) (context.Context, context.CancelFunc) {
+// mergeContexts returns a context that ends when either context ends.
+func mergeContexts(a, b context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(a)
 	stop := context.AfterFunc(b, cancel)
 	return ctx, func() { stop(); cancel() }
 }
 
-// clientStream is the subscriber's end, serverStream the relay's.
+// clientStream is the subscriber's side, serverStream the relay's.
 type clientStream struct {
 	link    link
 	ctx     context.Context
@@ -254,7 +255,7 @@
 	req := m.(*peerpb.SubscribeRequest)
 	go func() {
 		defer close(s.updates)
-		if s.ended = s.link.net.carryNow(s.ctx, "subscribe "+s.link.to, s.link.from, s.link.to, req); s.ended != nil {
+		if s.ended = s.link.net.transmitAndWait(s.ctx, "subscribe "+s.link.to, s.link.from, s.link.to, req); s.ended != nil {
 			return
 		}
 		stream := &grpc.GenericServerStream[peerpb.SubscribeRequest, peerpb.Update]{ServerStream: serverStream{s}}
@@ -266,23 +267,23 @@
 func (s serverStream) SendMsg(m any) error {
 	u := proto.Clone(m.(proto.Message)).(*peerpb.Update)
 	l := s.link
-	l.net.keep(l.to, l.from, u)
+	l.net.dropLost(l.to, l.from, u)
 	kind := "heartbeat"
 	if len(u.Items) > 0 {
 		kind = "update"
 	}
-	if err := l.net.carry(s.ctx, kind, l.to, l.from, u); err != nil {
+	if err := l.net.transmit(s.ctx, kind, l.to, l.from, u); err != nil {
 		return err
 	}
 	select {
-	case s.updates <- arrival{u, time.Now().Add(l.net.travel(l.to, l.from))}:
+	case s.updates <- arrival{u, time.Now().Add(l.net.latency(l.to, l.from))}:
 		return nil
 	case <-s.ctx.Done():
 		return s.ctx.Err()
 	}
 }
 
-// arrival is an Update on its way.
+// arrival is an Update in flight.
 type arrival struct {
 	update *peerpb.Update
 	at     time.Time
--- a/spread/options.go
+++ b/spread/options.go
@@ -14,44 +14,45 @@
 )
 
 const (
-	// DefaultHeartbeat is the time between empty Updates on an idle stream.
+	// DefaultHeartbeat is the interval between empty Updates on an idle stream.
 	DefaultHeartbeat = 2 * time.Second
-	// DefaultCompareInterval with its jitter, 5.4 s, stays below the 6 s within
-	// which every node must know that a target leaves: a relay that lags is
-	// shown by nothing else.
+	// DefaultCompareInterval including jitter stays below the 6 s within which
+	// every node must learn that a target leaves. Only a comparison reveals an
+	// outdated relay.
 	DefaultCompareInterval = 4500 * time.Millisecond
 )
 
 // Options configures a Service. Ref, Members and Dial are required.
 type Options struct {
-	// Ref names this life of the node.
+	// Ref identifies this incarnation of the node.
 	Ref *peerpb.NodeRef
-	// Members returns the VM list as last read. It is called once a heartbeat
-	// and must not block.
+	// Members returns the latest VM list. It is called once per heartbeat and
+	// must not block.
 	Members func() membership.List
-	// Dial returns the connection to a peer's address. Connections are shared
-	// and owned by the dialer; see package transport for a pool.
+	// Dial returns the connection to a peer. The dialer shares and owns
+	// connections; see package transport for a pool.
 	Dial func(address string) (grpc.ClientConnInterface, error)
-	// ContentNames returns the content that an item's body names, see package content;
-	// nil if no item names any. The item is taken and passed on only together
-	// with all of it.
+	// ContentNames returns the content that an item's body references; nil if
+	// no item references content. An item is applied and forwarded only once
+	// all its content is available.
 	ContentNames func(key string, body []byte) []content.Name
-	// Source watches the store; nil on a node that can't reach it.
+	// Source watches the store; nil on a node that cannot reach it.
 	Source Source
-	// ActiveVersion tells which version of a key the node uses, for surveys: what has
-	// arrived is not used until a listener took it. known is false for keys that
-	// it does not know of, and for all when it is nil; the latest version that
-	// arrived counts then.
+	// ActiveVersion returns the version of a key that the node currently uses,
+	// which may be older than the latest received one. known is false for keys
+	// that it does not track. If nil, the latest received version is reported.
 	ActiveVersion func(key string) (version ActiveVersion, known bool)
-	// Seed makes the jitter repeatable; nodes must differ.
+	// Seed makes the jitter reproducible; nodes need different seeds.
 	Seed uint64
 	// Logger defaults to logrus' standard logger.
 	Logger logrus.FieldLogger
-	// Heartbeat is the time between empty Updates on an idle stream, jittered
-	// by a fifth. A stream silent for 2.5 heartbeats is given up.
+	// Heartbeat is the interval between empty Updates on an idle stream,
+	// jittered by a fifth. A stream without messages for 2.5 heartbeats is
+	// closed.
 	Heartbeat time.Duration
-	// CompareInterval is the mean time between comparisons with the witness, jittered
-	// by a fifth. Those with a random peer are five times as far apart.
+	// CompareInterval is the mean time between comparisons with the alternate
+	// upstream, jittered by a fifth. Random peers are compared five times less
+	// often.
 	CompareInterval time.Duration
 }
 
@@ -63,13 +64,13 @@
 	Sequence uint64
 }
 
-// withDefaults checks the options and fills in what was left out.
+// withDefaults validates the options and sets defaults.
 func (o Options) withDefaults() (Options, error) {
 	if o.Ref == nil || o.Ref.Vm == "" {
-		return o, errors.New("spread: options lack the node's own name")
+		return o, errors.New("spread: Options.Ref is missing or has no VM name")
 	}
 	if o.Members == nil || o.Dial == nil {
-		return o, errors.New("spread: options lack Members or Dial")
+		return o, errors.New("spread: Options.Members and Options.Dial are required")
 	}
 	if o.ContentNames == nil {
 		o.ContentNames = func(string, []byte) []content.Name { return nil }
--- a/spread/push.go
+++ b/spread/push.go
@@ -10,14 +10,14 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// Pause between attempts to push while no watcher answers.
+// Pause between push attempts while no watcher responds.
 const (
 	pushPauseMin = 200 * time.Millisecond
 	pushPauseMax = 5 * time.Second
 )
 
-// pushQueue holds the keys published here that no watcher took yet. Each is
-// held once, so the queue is bounded by the number of keys.
+// pushQueue holds locally published keys that no watcher has accepted yet. Each
+// key is held once.
 type pushQueue struct {
 	mu    sync.Mutex
 	keys  map[string]struct{}
@@ -51,8 +51,8 @@
 	return out
 }
 
-// runPush brings what was published here to a watcher, from which it reaches
-// all others. It does so on a watcher too: the others may not know it as one.
+// runPush sends locally published items to a watcher, which distributes them.
+// Watchers push too, because other nodes may not know them as watchers.
 func (s *Service) runPush(ctx context.Context) {
 	pause := pushPauseMin
 	for {
@@ -67,25 +67,25 @@
 			continue
 		}
 		s.pushes.add(keys...)
-		if !wait.For(ctx, s.jitter(pause, jitterShare)) {
+		if !wait.For(ctx, s.jitter(pause, jitterFraction)) {
 			return
 		}
 		pause = min(2*pause, pushPauseMax)
 	}
 }
 
-// push offers the items to the watchers in turn until one took them all.
+// push sends the items to the watchers in turn until one accepts them all.
 func (s *Service) push(ctx context.Context, keys []string) bool {
 	watchers := s.plan.Load().Watchers
 	if len(watchers) == 0 {
 		return true
 	}
-	for _, m := range s.lastGoodFirst(watchers) {
+	for _, m := range s.lastSuccessfulFirst(watchers) {
 		if err := s.pushTo(ctx, m, keys); err != nil {
-			s.log.Debugf("spread: %s did not take %d items: %v", m.VM, len(keys), err)
+			s.log.Debugf("spread: push to %s failed (%d items): %v", m.VM, len(keys), err)
 			continue
 		}
-		s.pushedTo = m.VM
+		s.lastPushPeer = m.VM
 		return true
 	}
 	return false
@@ -104,17 +104,17 @@
 	return nil
 }
 
-// lastGoodFirst puts the watcher that answered last first, so that one which
-// hangs costs its timeout once and not with every item.
-func (s *Service) lastGoodFirst(watchers []topology.Member) []topology.Member {
+// lastSuccessfulFirst moves the watcher of the last successful push to the
+// front, so that a hung watcher costs its timeout only once.
+func (s *Service) lastSuccessfulFirst(watchers []topology.Member) []topology.Member {
 	out := make([]topology.Member, 0, len(watchers))
 	for _, m := range watchers {
-		if m.VM == s.pushedTo {
+		if m.VM == s.lastPushPeer {
 			out = append(out, m)
 		}
 	}
 	for _, m := range watchers {
-		if m.VM != s.pushedTo {
+		if m.VM != s.lastPushPeer {
 			out = append(out, m)
 		}
 	}
--- a/spread/random_test.go
+++ b/spread/random_test.go
@@ -15,15 +15,13 @@
 const (
 	randomRuns  = 10
 	randomSteps = 60
-	// healTime is what a fleet gets to come together once all faults end: a
-	// few comparisons with random peers.
+	// healTime is the time a fleet gets to converge after all faults end; it
+	// covers several comparisons with random peers.
 	healTime = 2 * time.Minute
 )
 
-// Faults come in any order: nodes die, start anew, hang; a region is cut off;
-// the store goes out or is restored to an older copy; items are published and
-// withdrawn meanwhile. No listener may ever be given an older state, and when
-// all faults end every node must have the latest of each key.
+// Under random faults no listener may receive an older state, and after all
+// faults end every node must have the latest state of each key.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(randomRuns) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -41,38 +39,38 @@
 	}
 }
 
-// randomRun is one fleet with the faults that are on.
+// randomRun is a fleet with its active faults.
 type randomRun struct {
 	*testFleet
-	random *rand.Rand
-	hung   map[string]bool
-	cut    string
-	latest map[string]item.Item
-	// storeOut tells that the store takes no calls.
-	storeOut bool
+	random         *rand.Rand
+	hung           map[string]bool
+	isolatedRegion string
+	latest         map[string]item.Item
+	// storeUnavailable is true while the store rejects writes.
+	storeUnavailable bool
 }
 
 func (r *randomRun) run() {
-	r.after(settle)
-	r.neverBack("")
-	steps := []func(){r.put, r.put, r.publish, r.publish, r.die, r.restart, r.hang, r.recover, r.cutOff, r.join, r.outage, r.restore}
+	r.advance(settleTime)
+	r.requireMonotonic("")
+	steps := []func(){r.put, r.put, r.publish, r.publish, r.killNode, r.startNode, r.hangNode, r.recoverNodes, r.isolateRegion, r.reconnectRegion, r.toggleOutage, r.restoreOlderState}
 	for range randomSteps {
 		steps[r.random.IntN(len(steps))]()
-		r.after(time.Duration(r.random.IntN(8000)) * time.Millisecond)
-		r.mustHoldContent()
+		r.advance(time.Duration(r.random.IntN(8000)) * time.Millisecond)
+		r.mustHaveConsistentContent()
 	}
 	clear(r.hung)
-	r.cut = ""
-	r.block()
-	r.store.setOut(false)
-	r.after(healTime)
+	r.isolatedRegion = ""
+	r.applyFaults()
+	r.store.setUnavailable(false)
+	r.advance(healTime)
 	for _, want := range r.latest {
 		r.mustHave(want)
 	}
-	r.mustHoldContent()
+	r.mustHaveConsistentContent()
 }
 
-// next returns a later state of a random key under the prefix.
+// next returns a later state of a random key with the prefix.
 func (r *randomRun) next(prefix string) item.Item {
 	key := fmt.Sprintf("%s/%d", prefix, r.random.IntN(3))
 	var body []byte
@@ -84,32 +82,32 @@
 	return it
 }
 
-// put is refused while the store is out.
+// put does nothing while the store is unavailable.
 func (r *randomRun) put() {
-	if r.storeOut {
+	if r.storeUnavailable {
 		return
 	}
 	it := r.next("account")
 	if !it.Deleted && r.random.IntN(2) == 0 {
-		it = r.naming(it)
+		it = r.withContents(it)
 	}
 	r.store.put(it)
 }
 
-// naming is the same state with some of a few contents.
-func (r *randomRun) naming(it item.Item) item.Item {
-	named, contents := naming(it.Sequence, r.random.IntN(4), r.random.IntN(4))
+// withContents returns the state with references to random contents.
+func (r *randomRun) withContents(it item.Item) item.Item {
+	named, contents := accountWithContents(it.Sequence, r.random.IntN(4), r.random.IntN(4))
 	it = item.New(it.Key, it.Epoch, it.Sequence, named.Body)
 	r.latest[it.Key] = it
 	r.store.put(contents...)
 	return it
 }
 
-// restore makes the store offer an older state of a key. It waits until all
-// have the latest: a change that only the store had would be lost with it.
-func (r *randomRun) restore() {
+// restoreOlderState makes the store return an older state of a key, once all
+// nodes have the latest; otherwise the latest state could be lost.
+func (r *randomRun) restoreOlderState() {
 	const key = "account/0"
-	if len(r.lacking(r.latest[key])) == 0 {
+	if len(r.nodesLacking(r.latest[key])) == 0 {
 		r.store.put(item.New(key, 1, 0, []byte("old")))
 	}
 }
@@ -120,8 +118,8 @@
 	if err := n.Publish(it.Key, it.Epoch, it.Sequence, it.Body); err != nil {
 		r.t.Fatal(err)
 	}
-	// Its maker may die before anybody else has it; that is no loss of an
-	// accepted change, so it is made by two.
+	// A second node publishes the same state, because the first may be killed
+	// before any other node has it.
 	second := r.pick()
 	if err := second.Publish(it.Key, it.Epoch, it.Sequence, it.Body); err != nil {
 		r.t.Fatal(err)
@@ -137,61 +135,61 @@
 	return r.nodes[names[r.random.IntN(len(names))]]
 }
 
-// die kills a node that no other holds items for.
-func (r *randomRun) die() {
+// killNode kills a node without unsent items.
+func (r *randomRun) killNode() {
 	n := r.pick()
 	if len(r.nodes) > 12 && n.pushes.len() == 0 {
 		r.kill(n)
 	}
 }
 
-func (r *randomRun) restart() {
+func (r *randomRun) startNode() {
 	for _, m := range topology.FromList(r.list) {
 		if _, ok := r.nodes[m.VM]; !ok {
-			r.neverBackOn(r.start(m), "")
+			r.requireMonotonicOn(r.start(m), "")
 			return
 		}
 	}
 }
 
-func (r *randomRun) hang() {
+func (r *randomRun) hangNode() {
 	if len(r.hung) < 3 {
 		r.hung[r.pick().member.Address] = true
 	}
-	r.block()
+	r.applyFaults()
 }
 
-func (r *randomRun) recover() {
+func (r *randomRun) recoverNodes() {
 	clear(r.hung)
-	r.block()
+	r.applyFaults()
 }
 
-func (r *randomRun) cutOff() {
-	r.cut = fmt.Sprintf("r%d", r.random.IntN(3))
-	r.block()
+func (r *randomRun) isolateRegion() {
+	r.isolatedRegion = fmt.Sprintf("r%d", r.random.IntN(3))
+	r.applyFaults()
 }
 
-func (r *randomRun) join() {
-	r.cut = ""
-	r.block()
+func (r *randomRun) reconnectRegion() {
+	r.isolatedRegion = ""
+	r.applyFaults()
 }
 
-func (r *randomRun) outage() {
-	r.storeOut = r.random.IntN(2) == 0
-	r.store.setOut(r.storeOut)
+func (r *randomRun) toggleOutage() {
+	r.storeUnavailable = r.random.IntN(2) == 0
+	r.store.setUnavailable(r.storeUnavailable)
 }
 
-// block puts the faults that are on into force.
-func (r *randomRun) block() {
+// applyFaults applies the active faults to the network.
+func (r *randomRun) applyFaults() {
 	region := map[string]string{}
 	for _, m := range topology.FromList(r.list) {
 		region[m.Address] = m.Region
 	}
-	hung, cut := map[string]bool{}, r.cut
+	hung, isolatedRegion := map[string]bool{}, r.isolatedRegion
 	for address := range r.hung {
 		hung[address] = true
 	}
 	r.net.setBlocked(func(from, to string) bool {
-		return hung[from] || hung[to] || cut != "" && (region[from] == cut) != (region[to] == cut)
+		return hung[from] || hung[to] || isolatedRegion != "" && (region[from] == isolatedRegion) != (region[to] == isolatedRegion)
 	})
 }
--- a/spread/reader.go
+++ b/spread/reader.go
@@ -8,130 +8,133 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// unequalHeartbeats is how long, in heartbeats, an upstream's digest may
-// differ while items keep arriving before the two are compared.
+// unequalHeartbeats is how long, in heartbeats, the upstream's digest may
+// differ while items arrive before a comparison is started.
 const unequalHeartbeats = 2.5
 
-// maxRepairs is how many repairs in a row an upstream may need. One that still
-// differs does not take in what it is told.
+// maxRepairs is how many consecutive repairs an upstream may need. One that
+// still differs afterwards is not applying the items it is sent.
 const maxRepairs = 4
 
-// reader takes in the Updates of one stream.
+// reader processes the Updates of one stream.
 type reader struct {
-	follow   *subscription
-	service  *Service
-	upstream topology.Member
+	subscription *subscription
+	service      *Service
+	upstream     topology.Member
 
-	// equalAt is when the digests were last equal, or last repaired.
+	// equalAt is when the digests last matched or were last repaired.
 	equalAt time.Time
-	// fedAt is when the upstream last led to the store.
-	fedAt time.Time
-	// lookAt is when to look for an upstream that comes earlier in order.
-	lookAt time.Time
-	first  bool
-	// idle counts heartbeats with another digest in a row.
-	idle    int
-	repairs int
+	// storePathAt is when the upstream last reported a path to the store.
+	storePathAt time.Time
+	// switchCheckAt is when to check for an upstream of higher preference.
+	switchCheckAt time.Time
+	first         bool
+	// idleMismatches counts consecutive heartbeats with a different digest.
+	idleMismatches int
+	repairs        int
 }
 
 func newReader(f *subscription, m topology.Member) *reader {
 	now := time.Now()
-	r := &reader{follow: f, service: f.service, upstream: m, first: true, equalAt: now, fedAt: now}
-	r.lookAgain(now)
+	r := &reader{subscription: f, service: f.service, upstream: m, first: true, equalAt: now, storePathAt: now}
+	r.scheduleSwitchCheck(now)
 	return r
 }
 
-// take applies one Update and decides whether to stay.
-func (r *reader) take(ctx context.Context, u *peerpb.Update) error {
+// handle applies one Update. It returns an error if the stream should be
+// closed.
+func (r *reader) handle(ctx context.Context, u *peerpb.Update) error {
 	s := r.service
-	if err := s.applyAll(u.GetItems(), s.server.waiterOf(r.upstream.VM)); err != nil {
-		s.log.Warnf("spread: %s sent an item that can't be taken: %v", r.upstream.VM, err)
+	if err := s.applyAll(u.GetItems(), s.server.queueOf(r.upstream.VM)); err != nil {
+		s.log.Warnf("spread: received an invalid item from %s: %v", r.upstream.VM, err)
 	}
-	s.noteUpdate(u)
-	if err := r.attend(u); err != nil {
+	s.recordReads(u)
+	if err := r.recordUpstream(u); err != nil {
 		return err
 	}
 	if u.GetDigest() != 0 || len(u.GetItems()) == 0 {
-		if err := r.check(ctx, u); err != nil {
+		if err := r.checkDigest(ctx, u); err != nil {
 			return err
 		}
 	}
-	return r.stay(ctx)
+	return r.checkUpstream(ctx)
 }
 
-// attend notes that the upstream is there and whether it leads to the store.
-func (r *reader) attend(u *peerpb.Update) error {
+// recordUpstream marks the upstream as current and records whether it has a
+// path to the store.
+func (r *reader) recordUpstream(u *peerpb.Update) error {
 	now := time.Now()
 	if u.GetFed() {
-		r.fedAt = now
+		r.storePathAt = now
 	}
-	f := r.follow
+	f := r.subscription
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.current = r.upstream.VM
-	f.fed = u.GetFed()
-	// Digests equal to those of a relay that is cut off itself say nothing.
-	if now.Sub(r.fedAt) > r.heartbeats(silentHeartbeats) && f.selector.other(f.current, now) {
-		return errCutOff
+	f.hasStorePath = u.GetFed()
+	// An isolated upstream and its subscribers are equally outdated, so
+	// matching digests prove nothing.
+	if now.Sub(r.storePathAt) > r.heartbeats(silentHeartbeats) && f.selector.hasAlternative(f.current, now) {
+		return errNoStorePath
 	}
 	return nil
 }
 
-// check compares digests and repairs a difference that lasts. On an idle
-// stream the digest is exact, so two heartbeats are enough; the second keeps
-// an item that is on its way by another path from costing a repair.
-func (r *reader) check(ctx context.Context, u *peerpb.Update) error {
+// checkDigest compares digests and repairs a lasting difference. It tolerates
+// one idle heartbeat with a different digest, because an item may be arriving
+// by another path.
+func (r *reader) checkDigest(ctx context.Context, u *peerpb.Update) error {
 	s := r.service
 	equal := u.GetDigest() == s.Snapshot().Digest()
-	s.heard.set(r.upstream.VM, 0, equal)
+	s.peers.record(r.upstream.VM, 0, equal)
 	now := time.Now()
 	if equal {
-		r.equalAt, r.idle, r.repairs, r.first = now, 0, 0, false
+		r.equalAt, r.idleMismatches, r.repairs, r.first = now, 0, 0, false
 		return nil
 	}
 	if len(u.GetItems()) == 0 {
-		r.idle++
+		r.idleMismatches++
 	} else {
-		r.idle = 0
+		r.idleMismatches = 0
 	}
-	// A stream brings an item together with its content, but for content that
-	// the upstream took to be here; that does not come by itself.
-	lacks := s.hub.lacksContent()
-	if !r.first && !lacks && r.idle < 2 && now.Sub(r.equalAt) < r.heartbeats(unequalHeartbeats) {
+	// A stream sends an item together with its content, except content that it
+	// assumes this node has. Only a comparison fetches that.
+	lacksContent := s.hub.lacksContent()
+	if !r.first && !lacksContent && r.idleMismatches < 2 && now.Sub(r.equalAt) < r.heartbeats(unequalHeartbeats) {
 		return nil
 	}
 	if r.repairs++; r.repairs > maxRepairs {
-		return errLags
+		return errLagging
 	}
 	_, err := s.compareWith(ctx, r.upstream)
-	r.equalAt, r.idle, r.first = time.Now(), 0, false
+	r.equalAt, r.idleMismatches, r.first = time.Now(), 0, false
 	return err
 }
 
-// stay reports whether to leave for an upstream that comes first: one that
-// answers, and only once in a while, so that nobody moves to and fro.
-func (r *reader) stay(ctx context.Context) error {
+// checkUpstream returns an error if the stream should be closed in favour of
+// another upstream. It checks for a preferred upstream only occasionally, to
+// avoid flapping.
+func (r *reader) checkUpstream(ctx context.Context) error {
 	now := time.Now()
-	f := r.follow
+	f := r.subscription
 	f.mu.Lock()
 	listed := f.service.listsUpstream(f.index, r.upstream.VM)
 	better, found := f.selector.better(r.upstream.VM, now)
 	f.mu.Unlock()
 	if !listed {
-		return errMoved
+		return errBetterUpstream
 	}
-	if now.Before(r.lookAt) {
+	if now.Before(r.switchCheckAt) {
 		return nil
 	}
-	r.lookAgain(now)
+	r.scheduleSwitchCheck(now)
 	if !found {
 		return nil
 	}
-	// Asking before leaving keeps this stream while the other is still gone
-	// but listed.
+	// Compare first: the preferred upstream may be listed but down.
 	c, err := r.service.compareWith(ctx, better)
 	if err == nil && c.ready {
-		return errMoved
+		return errBetterUpstream
 	}
 	f.mu.Lock()
 	f.selector.fail(better.VM, time.Now())
@@ -139,19 +142,19 @@
 	return nil
 }
 
-func (r *reader) lookAgain(now time.Time) {
-	r.lookAt = now.Add(r.service.jitter(r.heartbeats(returnHeartbeats), jitterShare))
+func (r *reader) scheduleSwitchCheck(now time.Time) {
+	r.switchCheckAt = now.Add(r.service.jitter(r.heartbeats(returnHeartbeats), jitterFraction))
 }
 
 func (r *reader) heartbeats(n float64) time.Duration {
 	return time.Duration(n * float64(r.service.options.Heartbeat))
 }
 
-// listsUpstream reports whether the present plan names the VM.
+// listsUpstream reports whether the current plan lists the VM as an upstream.
 func (s *Service) listsUpstream(index int, vm string) bool {
 	ups := s.plan.Load().Upstreams
 	if index >= len(ups) {
 		return false
 	}
-	return listed(ups[index], vm)
+	return containsVM(ups[index], vm)
 }
--- a/spread/ready.go
+++ b/spread/ready.go
@@ -9,23 +9,23 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// What a node must have learned from before it is ready.
+// Peers that a node must synchronize with before it is ready.
 const (
-	readyOwnPlace  = 2
-	readyElsewhere = 1
-	// readyTries bounds the peers tried in each group for one round.
-	readyTries = 6
-	// alonePauses is after how many rounds without any answer a node that was
-	// ready before its pause goes on.
-	alonePauses = 5
+	readyOwnDomain    = 2
+	readyOtherDomains = 1
+	// readyMaxTries bounds the peers tried per group in one round.
+	readyMaxTries = 6
+	// maxIsolatedRounds is the number of rounds without a response after which
+	// a node that was ready before becomes ready again.
+	maxIsolatedRounds = 5
 )
 
-// readiness is whether a node has learned what others hold.
+// readiness records whether a node has synchronized with its peers.
 type readiness struct {
-	mu     sync.Mutex
-	now    bool
-	before bool
-	// changed has room for one signal.
+	mu       sync.Mutex
+	isReady  bool
+	wasReady bool
+	// changed has a buffer of one signal.
 	changed chan struct{}
 }
 
@@ -36,84 +36,81 @@
 func (r *readiness) set() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.now = true
-	r.before = true
+	r.isReady = true
+	r.wasReady = true
 }
 
-// reset makes the node compare again; ever is unchanged, so that nodes which
-// were paused together can still learn from each other.
+// reset requires another synchronization. everReady is unaffected, so that
+// nodes that were paused together can still learn from each other.
 func (r *readiness) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.now = false
+	r.isReady = false
 	select {
 	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
-func (r *readiness) is() bool {
+func (r *readiness) ready() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now
+	return r.isReady
 }
 
-// ever reports whether the node was ready at any time in its life.
-func (r *readiness) ever() bool {
+// everReady reports whether the node was ready at any time since its start.
+func (r *readiness) everReady() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.before
+	return r.wasReady
 }
 
-// Ready reports whether the node has, since it started or was last paused,
-// either read the store itself or compared with ready peers: two of its
-// failure domain and one elsewhere, or as many as there are and answer, but at
-// least one. It then holds each state that any of these held at that time. A
-// state that reached none of them is not known to it. A node that was paused
-// and reaches neither peers nor store is ready again after some rounds, with
-// what it had.
-func (s *Service) Ready() bool { return s.ready.is() }
-
-// runReady compares with peers until the node is ready, and again after a
-// pause.
+// Ready reports whether the node, since its start or its last pause, has read
+// the store or synchronized with ready peers: two of its failure domain and one
+// of another, or as many as respond, at least one. An isolated node becomes
+// ready again after a pause with the items it has.
+func (s *Service) Ready() bool { return s.readiness.ready() }
+
+// runReady synchronizes with peers until the node is ready, and again after
+// each pause.
 func (s *Service) runReady(ctx context.Context) {
 	for {
-		for round := 0; !s.learn(ctx); round++ {
-			// A node that was paused and finds no peer and no store goes on with
-			// what it had: nothing newer can be known, and refusing its callers
-			// for as long as it is cut off would serve nobody.
-			if s.ready.ever() && round == alonePauses {
+		for round := 0; !s.learnFromPeers(ctx); round++ {
+			// An isolated node resumes with the items it has instead of
+			// rejecting requests until it is reconnected.
+			if s.readiness.everReady() && round == maxIsolatedRounds {
 				break
 			}
-			if !wait.For(ctx, s.jitter(s.options.Heartbeat/2, jitterShare)) {
+			if !wait.For(ctx, s.jitter(s.options.Heartbeat/2, jitterFraction)) {
 				return
 			}
 		}
-		s.ready.set()
+		s.readiness.set()
 		s.log.Infof("spread: node is ready with %d items", s.Snapshot().Len())
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.ready.changed:
+		case <-s.readiness.changed:
 		}
 	}
 }
 
-// learn makes one round of comparisons and reports whether it was enough.
-func (s *Service) learn(ctx context.Context) bool {
+// learnFromPeers runs one round of comparisons and reports whether the node is
+// synchronized.
+func (s *Service) learnFromPeers(ctx context.Context) bool {
 	plan := s.plan.Load()
-	var own, elsewhere []topology.Member
+	var ownDomain, otherDomains []topology.Member
 	for _, m := range plan.Peers {
 		if m.FailureDomain == s.options.Ref.Place {
-			own = append(own, m)
+			ownDomain = append(ownDomain, m)
 		} else {
-			elsewhere = append(elsewhere, m)
+			otherDomains = append(otherDomains, m)
 		}
 	}
 	var learned [2]int
 	var wg sync.WaitGroup
-	wg.Go(func() { learned[0] = s.learnFrom(ctx, own, readyOwnPlace) })
-	wg.Go(func() { learned[1] = s.learnFrom(ctx, elsewhere, readyElsewhere) })
+	wg.Go(func() { learned[0] = s.learnFrom(ctx, ownDomain, readyOwnDomain) })
+	wg.Go(func() { learned[1] = s.learnFrom(ctx, otherDomains, readyOtherDomains) })
 	wg.Wait()
 	if ctx.Err() != nil {
 		return false
@@ -121,13 +118,13 @@
 	return learned[0]+learned[1] > 0 || s.source.synced()
 }
 
-// learnFrom compares with peers in random order until enough were ready. A
-// peer that is new itself does not count: two new VMs would find each other
-// equal, and steer by nothing.
+// learnFrom compares with peers in random order until enough ready ones
+// responded. Peers that were never ready do not count, because new nodes would
+// consider each other synchronized.
 func (s *Service) learnFrom(ctx context.Context, peers []topology.Member, enough int) int {
 	learned := 0
 	for i, at := range s.shuffled(len(peers)) {
-		if learned == enough || i == readyTries {
+		if learned == enough || i == readyMaxTries {
 			break
 		}
 		c, err := s.compareWith(ctx, peers[at])
@@ -144,7 +141,7 @@
 	return s.rand.Perm(n)
 }
 
-// synced reports whether the node has read the store by itself.
+// synced reports whether the node's own source has read the store.
 func (r *sourceRunner) synced() bool {
 	if syncer, ok := r.service.options.Source.(Syncer); ok {
 		return syncer.Synced()
@@ -152,13 +149,13 @@
 	return r.healthy()
 }
 
-// readyTimeout bounds how long WaitReady sleeps between looks.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the polling interval of WaitReady.
+const readyPollInterval = 50 * time.Millisecond
 
-// WaitReady returns when the node is ready or with the context's error.
+// WaitReady blocks until the node is ready or the context ends.
 func (s *Service) WaitReady(ctx context.Context) error {
 	for !s.Ready() {
-		if !wait.For(ctx, readyPoll) {
+		if !wait.For(ctx, readyPollInterval) {
 			return ctx.Err()
 		}
 	}
--- a/spread/selector.go
+++ b/spread/selector.go
@@ -6,31 +6,30 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// Times of the choice of an upstream, in heartbeats.
+// Durations of upstream selection, in heartbeats.
 const (
 	firstPenaltyHeartbeats = 1
 	penaltyGrowth          = 4
 	maxPenaltyHeartbeats   = 150
-	// retryHeartbeats is how long to wait when every candidate has failed. It
-	// is short, so that a region that was cut off is back within seconds.
+	// retryHeartbeats is the wait when every candidate is penalized. It is
+	// short so that an isolated region reconnects within seconds.
 	retryHeartbeats = 1
-	// forgiveHeartbeats is how long an upstream must have served before its
-	// earlier failures are forgotten. Without it a relay that fails every few
-	// seconds would be tried again at once each time and its subscribers would
-	// move to and fro.
-	forgiveHeartbeats = 30
+	// resetPenaltyHeartbeats is how long an upstream must have served before
+	// its penalty is reset. It prevents subscribers from flapping when a relay
+	// fails every few seconds.
+	resetPenaltyHeartbeats = 30
 )
 
-// penalty is the record of an upstream that failed.
+// penalty is the backoff state of a failed upstream.
 type penalty struct {
 	// heartbeats is the length of the last penalty.
 	heartbeats int
 	until      time.Time
 }
 
-// selector chooses among upstreams in order, leaving out for a growing time
-// those that failed. It is a pure function of the times it is given; its owner
-// guards it.
+// selector chooses among upstreams in order and skips failed ones with
+// exponential backoff. It uses only the times it is given; its owner
+// synchronizes access.
 type selector struct {
 	heartbeat time.Duration
 	jitter    func(time.Duration) time.Duration
@@ -42,19 +41,20 @@
 	return &selector{heartbeat: heartbeat, jitter: jitter, penalties: map[string]penalty{}}
 }
 
-// setOrder replaces the candidates; records of those that stay are kept.
+// setOrder replaces the candidates and keeps the penalties of those that
+// remain.
 func (s *selector) setOrder(order []topology.Member) {
 	s.order = order
 	for vm := range s.penalties {
-		if !listed(order, vm) {
+		if !containsVM(order, vm) {
 			delete(s.penalties, vm)
 		}
 	}
 }
 
-// next returns the first candidate without penalty. If all have one, it
-// returns that whose penalty ends first, and how long to wait before it is
-// tried. Ok is false when there are no candidates.
+// next returns the first candidate without a penalty. If all are penalized, it
+// returns the one whose penalty ends first and the time to wait. ok is false
+// when there are no candidates.
 func (s *selector) next(now time.Time) (m topology.Member, wait time.Duration, ok bool) {
 	for _, c := range s.order {
 		left := s.penalties[c.VM].until.Sub(now)
@@ -68,34 +68,34 @@
 	return m, min(wait, s.jitter(retryHeartbeats*s.heartbeat)), ok
 }
 
-// other reports whether a candidate besides vm has no penalty.
-func (s *selector) other(vm string, now time.Time) bool {
+// hasAlternative reports whether a candidate besides vm has no penalty.
+func (s *selector) hasAlternative(vm string, now time.Time) bool {
 	for _, m := range s.order {
-		if m.VM != vm && !s.failing(m.VM, now) {
+		if m.VM != vm && !s.penalized(m.VM, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// better returns the first candidate that comes before vm and has no penalty.
+// better returns the first candidate that precedes vm and has no penalty.
 func (s *selector) better(vm string, now time.Time) (topology.Member, bool) {
 	for _, m := range s.order {
 		if m.VM == vm {
 			break
 		}
-		if !s.failing(m.VM, now) {
+		if !s.penalized(m.VM, now) {
 			return m, true
 		}
 	}
 	return topology.Member{}, false
 }
 
-func (s *selector) failing(vm string, now time.Time) bool {
+func (s *selector) penalized(vm string, now time.Time) bool {
 	return s.penalties[vm].until.After(now)
 }
 
-// fail records a failure; the time without a new attempt grows with each.
+// fail records a failure and increases the penalty.
 func (s *selector) fail(vm string, now time.Time) {
 	p := s.penalties[vm]
 	if p.heartbeats == 0 {
@@ -107,9 +107,9 @@
 	s.penalties[vm] = p
 }
 
-// served records that an upstream has served for a time.
+// served records how long an upstream served this node.
 func (s *selector) served(vm string, d time.Duration) {
-	if d >= forgiveHeartbeats*s.heartbeat {
+	if d >= resetPenaltyHeartbeats*s.heartbeat {
 		delete(s.penalties, vm)
 	}
 }
--- a/spread/server.go
+++ b/spread/server.go
@@ -14,7 +14,7 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// server answers other nodes.
+// server implements the peer gRPC service.
 type server struct {
 	peerpb.UnimplementedSpreadServer
 	service *Service
@@ -23,10 +23,10 @@
 	subscribers map[string]*subscriber
 }
 
-// subscriber is one stream to another node.
+// subscriber is an open stream to another node.
 type subscriber struct {
-	ref    *peerpb.NodeRef
-	waiter *waiter
+	ref   *peerpb.NodeRef
+	queue *changeQueue
 	// replaced is closed when the same VM subscribes again.
 	replaced chan struct{}
 }
@@ -38,47 +38,47 @@
 // Subscribe implements peerpb.SpreadServer.
 func (v *server) Subscribe(req *peerpb.SubscribeRequest, stream grpc.ServerStreamingServer[peerpb.Update]) error {
 	if req.GetNode().GetVm() == "" {
-		return status.Error(codes.InvalidArgument, "spread: subscriber has no name")
+		return status.Error(codes.InvalidArgument, "spread: subscriber has no VM name")
 	}
-	sub, err := v.join(req.GetNode())
+	sub, err := v.admit(req.GetNode())
 	if err != nil {
 		return err
 	}
-	defer v.leave(sub)
+	defer v.remove(sub)
 	return v.stream(sub, stream)
 }
 
-// stream sends what changes, and a heartbeat after each idle period.
+// stream sends changes, and a heartbeat after each idle interval.
 func (v *server) stream(sub *subscriber, stream grpc.ServerStreamingServer[peerpb.Update]) error {
 	s := v.service
-	heartbeat := time.NewTimer(s.jitter(s.options.Heartbeat, jitterShare))
+	heartbeat := time.NewTimer(s.jitter(s.options.Heartbeat, jitterFraction))
 	defer heartbeat.Stop()
 	for {
 		if err := v.send(sub, stream); err != nil {
 			return err
 		}
-		heartbeat.Reset(s.jitter(s.options.Heartbeat, jitterShare))
+		heartbeat.Reset(s.jitter(s.options.Heartbeat, jitterFraction))
 		select {
 		case <-stream.Context().Done():
 			return stream.Context().Err()
 		case <-sub.replaced:
-			return status.Error(codes.Aborted, "spread: subscribed again")
-		case <-sub.waiter.ready:
+			return status.Error(codes.Aborted, "spread: replaced by a newer subscription")
+		case <-sub.queue.ready:
 		case <-heartbeat.C:
 		}
 	}
 }
 
-// send sends what the subscriber lacks, or a heartbeat when that is nothing.
-// Only the last message carries the digest all items lead to.
+// send sends pending changes, or a heartbeat if there are none. Only the last
+// message carries the resulting digest.
 func (v *server) send(sub *subscriber, stream grpc.ServerStreamingServer[peerpb.Update]) error {
-	items, snap := v.service.hub.take(sub.waiter)
+	items, snap := v.service.hub.take(sub.queue)
 	parts := chunks(items)
 	if len(parts) == 0 {
 		parts = append(parts, nil)
 	}
 	for i, part := range parts {
-		u := &peerpb.Update{Items: part, Fed: v.service.fed()}
+		u := &peerpb.Update{Items: part, Fed: v.service.hasStorePath()}
 		if i == len(parts)-1 {
 			u.Digest = snap.Digest()
 			v.service.fillReads(u)
@@ -90,45 +90,44 @@
 	return nil
 }
 
-// join admits a subscriber within the bound. A VM that was restarted takes
-// over its own place: its old stream may stay half-open for a while, and a few
-// restarts would otherwise use up the bound.
-func (v *server) join(ref *peerpb.NodeRef) (*subscriber, error) {
-	sub := &subscriber{ref: ref, waiter: v.service.hub.wait(), replaced: make(chan struct{})}
+// admit registers a subscriber unless the limit is reached. A VM that
+// subscribes again replaces its previous stream, which may be half-open.
+func (v *server) admit(ref *peerpb.NodeRef) (*subscriber, error) {
+	sub := &subscriber{ref: ref, queue: v.service.hub.subscribe(), replaced: make(chan struct{})}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	old, again := v.subscribers[ref.Vm]
 	if again {
 		close(old.replaced)
-		v.service.hub.leave(old.waiter)
+		v.service.hub.unsubscribe(old.queue)
 	} else if len(v.subscribers) >= topology.MaxSubscribers {
-		v.service.hub.leave(sub.waiter)
-		return nil, status.Errorf(codes.ResourceExhausted, "spread: serves %d subscribers already", len(v.subscribers))
+		v.service.hub.unsubscribe(sub.queue)
+		return nil, status.Errorf(codes.ResourceExhausted, "spread: subscriber limit reached (%d)", len(v.subscribers))
 	}
 	v.subscribers[ref.Vm] = sub
 	return sub, nil
 }
 
-func (v *server) leave(sub *subscriber) {
+func (v *server) remove(sub *subscriber) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.service.hub.leave(sub.waiter)
+	v.service.hub.unsubscribe(sub.queue)
 	if v.subscribers[sub.ref.Vm] == sub {
 		delete(v.subscribers, sub.ref.Vm)
 	}
 }
 
-// waiterOf returns the waiter of a subscriber, or nil.
-func (v *server) waiterOf(vm string) *waiter {
+// queueOf returns the queue of a subscriber, or nil.
+func (v *server) queueOf(vm string) *changeQueue {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if sub, ok := v.subscribers[vm]; ok {
-		return sub.waiter
+		return sub.queue
 	}
 	return nil
 }
 
-// list returns the subscribers as they are now.
+// list returns the current subscribers.
 func (v *server) list() []*peerpb.NodeRef {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -143,22 +142,22 @@
 func (v *server) Compare(_ context.Context, req *peerpb.CompareRequest) (*peerpb.CompareResponse, error) {
 	s := v.service
 	ref := req.GetNode()
-	if err := s.applyAll(req.GetItems(), v.waiterOf(ref.GetVm())); err != nil {
+	if err := s.applyAll(req.GetItems(), v.queueOf(ref.GetVm())); err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	snap := s.Snapshot()
 	res := &peerpb.CompareResponse{
 		Equal:  snap.Digest() == req.GetDigest(),
 		Digest: snap.Digest(),
-		Ready:  s.ready.ever(),
+		Ready:  s.readiness.everReady(),
 	}
-	s.heard.set(ref.GetVm(), ref.GetIncarnation(), res.Equal)
+	s.peers.record(ref.GetVm(), ref.GetIncarnation(), res.Equal)
 	switch {
 	case res.Equal || len(req.GetItems()) > 0:
 	case len(req.GetBuckets()) == 0:
 		res.BucketDigests = bucketDigests(snap)
 	default:
-		difference(snap, req, res)
+		fillDifference(snap, req, res)
 	}
 	return res, nil
 }
@@ -171,12 +170,12 @@
 	return out
 }
 
-// difference fills in what one side has later than the other within the
-// buckets asked for, items up to one chunk.
-func difference(snap *item.Snapshot, req *peerpb.CompareRequest, res *peerpb.CompareResponse) {
-	theirs := make(map[string]*peerpb.Version, len(req.GetHave()))
+// fillDifference fills in the items and keys for which one side has a later
+// version within the requested buckets. Items are limited to one chunk.
+func fillDifference(snap *item.Snapshot, req *peerpb.CompareRequest, res *peerpb.CompareResponse) {
+	peerVersions := make(map[string]*peerpb.Version, len(req.GetHave()))
 	for _, v := range req.GetHave() {
-		theirs[v.GetKey()] = v
+		peerVersions[v.GetKey()] = v
 	}
 	var later []item.Item
 	for _, b := range req.GetBuckets() {
@@ -184,7 +183,7 @@
 			continue
 		}
 		snap.Bucket(int(b), func(it item.Item) {
-			v, ok := theirs[it.Key]
+			v, ok := peerVersions[it.Key]
 			if !ok || item.VersionNewer(it.Epoch, it.Sequence, it.Sum, v.Epoch, v.Sequence, v.Sum) {
 				later = append(later, it)
 			}
--- a/spread/service.go
+++ b/spread/service.go
@@ -15,82 +15,84 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// Service is one node's part in spreading items. It is safe for use by several
-// goroutines.
+// Service distributes items between this node and its peers. It is safe for
+// concurrent use.
 type Service struct {
-	options Options
-	log     logrus.FieldLogger
-	hub     *hub
-	server  *server
-	pushes  *pushQueue
-	heard   *heardTable
-	source  *sourceRunner
-	ready   *readiness
-	// pushedTo is the watcher that took the last push; runPush owns it.
-	pushedTo string
-	reads    *readings
-	// listReads are those of the VM list.
-	listReads *readings
-	readerID  uint64
-	started   time.Time
-	dispatch  *dispatcher
-	follows   [subscriptions]*subscription
-
-	plan     atomic.Pointer[topology.Plan]
-	planMu   sync.Mutex
-	members  []topology.Member
-	replaced chan struct{}
+	options   Options
+	log       logrus.FieldLogger
+	hub       *hub
+	server    *server
+	pushes    *pushQueue
+	peers     *peerTable
+	source    *sourceRunner
+	readiness *readiness
+	// lastPushPeer is the watcher that accepted the last push; owned by
+	// runPush.
+	lastPushPeer string
+	storeReads   *readTracker
+	// listReads tracks reads of the VM list.
+	listReads     *readTracker
+	readerID      uint64
+	started       time.Time
+	dispatch      *dispatcher
+	subscriptions [maxSubscriptions]*subscription
+
+	plan        atomic.Pointer[topology.Plan]
+	planMu      sync.Mutex
+	members     []topology.Member
+	planUpdated chan struct{}
 
 	randMu sync.Mutex
 	rand   *rand.Rand
 }
 
-// subscriptions is how many streams a node keeps: a watcher one to the other
-// watcher of its region and one to another region, all others just one.
-const subscriptions = 2
+// maxSubscriptions is the number of streams a node keeps: watchers keep one to
+// the other watcher of their region and one to another region, all other nodes
+// keep one.
+const maxSubscriptions = 2
 
-// New returns a service that does nothing until Run and Register are called.
+// New returns a service. It is inactive until Register and Run are called.
 func New(options Options) (*Service, error) {
 	options, err := options.withDefaults()
 	if err != nil {
 		return nil, err
 	}
 	s := &Service{
-		options:   options,
-		log:       options.Logger,
-		hub:       newHub(options.ContentNames),
-		pushes:    newPushQueue(),
-		heard:     newHeardTable(),
-		replaced:  make(chan struct{}),
-		reads:     newReadings(),
-		listReads: newReadings(),
-		readerID:  readerIDOf(options.Ref),
-		started:   time.Now(),
-		rand:      rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)),
+		options:     options,
+		log:         options.Logger,
+		hub:         newHub(options.ContentNames),
+		pushes:      newPushQueue(),
+		peers:       newPeerTable(),
+		planUpdated: make(chan struct{}),
+		storeReads:  newReadTracker(),
+		listReads:   newReadTracker(),
+		readerID:    readerIDOf(options.Ref),
+		started:     time.Now(),
+		rand:        rand.New(rand.NewPCG(options.Seed, options.Seed^0x9e3779b97f4a7c15)),
 	}
 	s.server = newServer(s)
 	s.source = newSourceRunner(s)
-	s.ready = newReadiness()
+	s.readiness = newReadiness()
 	s.dispatch = newDispatcher(s.hub)
-	for i := range s.follows {
-		s.follows[i] = newSubscription(s, i)
+	for i := range s.subscriptions {
+		s.subscriptions[i] = newSubscription(s, i)
 	}
 	s.plan.Store(&topology.Plan{})
 	s.refreshPlan()
 	return s, nil
 }
 
-// Register adds the service to a node's gRPC server.
+// Register adds the service to the node's gRPC server.
 func (s *Service) Register(r grpc.ServiceRegistrar) {
 	peerpb.RegisterSpreadServer(r, s.server)
 }
 
-// Run does the node's part until the context ends.
+// Run runs the service until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	tasks := []func(context.Context){
-		s.runPlan, s.runCompare, s.runCompareRandom, s.runPush, s.runReady, s.source.run, s.dispatch.run,
+		s.runPlan, s.runCompareAlternate, s.runCompareRandom, s.runPush, s.runReady, s.source.run, s.dispatch.run,
 	}
-	for _, f := range s.follows {
+	for _, f := range s.subscriptions {
 		tasks = append(tasks, f.run)
 	}
 	var wg sync.WaitGroup
@@ -100,7 +102,7 @@
 	wg.Wait()
 }
 
-// Get returns the state of a key. Ok is false for a key that is unknown or
+// Get returns the state of a key. ok is false for a key that is unknown or
 // deleted.
 func (s *Service) Get(key string) (it item.Item, ok bool) {
 	it, ok = s.Snapshot().Get(key)
@@ -110,20 +112,19 @@
 // Snapshot returns an immutable view of all items.
 func (s *Service) Snapshot() *item.Snapshot { return s.hub.table.Snapshot() }
 
-// OnItem calls fn for each key with the prefix that is there and then for each
-// later state, one call at a time for the whole service. A key that changes
-// faster than fn takes it skips states between; fn always gets the latest and
-// never an older one after a later. Tombstones are passed on.
+// OnItem calls fn for each existing key with the prefix and then for each later
+// state, one call at a time for the whole service. Intermediate states may be
+// skipped, but fn always receives the latest one and never an older one after a
+// newer one. Tombstones are delivered.
 func (s *Service) OnItem(prefix string, fn func(item.Item)) {
 	s.dispatch.add(prefix, fn)
 }
 
-// Publish spreads a state that this node made; a nil body deletes the key. It
-// is applied here before it returns and reaches the others as soon as one
-// watcher took it, which is tried until it succeeds or a later state of the
-// key is published. The error tells that key or body can't be sent.
+// Publish distributes a state created by this node; a nil body deletes the key.
+// The state is applied locally before Publish returns, and pushed to a watcher
+// until it is accepted or superseded. The error reports an invalid key or body.
 func (s *Service) Publish(key string, epoch, sequence uint64, body []byte) error {
-	if err := check(key, body); err != nil {
+	if err := validate(key, body); err != nil {
 		return err
 	}
 	it := item.New(key, epoch, sequence, body)
@@ -133,11 +134,11 @@
 	return nil
 }
 
-// Watching reports whether the node's part is to watch the platform's services
-// for others.
+// Watching reports whether the node's role is to watch the platform's services
+// on behalf of others.
 func (s *Service) Watching() bool { return s.plan.Load().Role == topology.Watcher }
 
-// jitter returns a duration between 1-spread and 1+spread times d.
+// jitter returns d multiplied by a random factor between 1-spread and 1+spread.
 func (s *Service) jitter(d time.Duration, spread float64) time.Duration {
 	s.randMu.Lock()
 	defer s.randMu.Unlock()
--- a/spread/service_test.go
+++ b/spread/service_test.go
@@ -14,19 +14,19 @@
 	"github.com/yuccaroute/yuccaroute/spread/transport"
 )
 
-// idleMessages counts the messages of an idle fleet, by node and minute.
-func idleMessages(t *testing.T, perPlace int) float64 {
+// idleMessages returns the messages per node and minute in an idle fleet.
+func idleMessages(t *testing.T, perDomain int) float64 {
 	perNode := 0.0
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestFleet(t, 3, 2, perPlace)
+		f := newTestFleet(t, 3, 2, perDomain)
 		defer f.stop()
 		f.store.put(account(1))
-		f.after(time.Minute)
-		f.net.counted()
+		f.advance(time.Minute)
+		f.net.takeCounts()
 		const minutes = 5
-		f.after(minutes * time.Minute)
+		f.advance(minutes * time.Minute)
 		total := 0
-		for _, n := range f.net.counted() {
+		for _, n := range f.net.takeCounts() {
 			total += n
 		}
 		perNode = float64(total) / float64(len(f.nodes)) / minutes
@@ -34,18 +34,16 @@
 	return perNode
 }
 
-// Four times the nodes must not cost a node more messages: with 550 nodes it
-// has no more to spend.
+// The idle messages of a node must not grow with the size of the fleet.
 func TestIdleMessagesDoNotGrowWithTheFleet(t *testing.T) {
 	small, large := idleMessages(t, 5), idleMessages(t, 20)
 	if large > 1.1*small {
-		t.Errorf("%.1f messages a node and minute in the small fleet, %.1f in the large one", small, large)
+		t.Errorf("%.1f messages per node and minute in the small fleet, %.1f in the large one", small, large)
 	}
 }
 
-// An account with as many blocks as its document may hold is accepted. Its
-// item, behind a chunk that is almost full, must fit a message, or it would
-// never be in force and every stream that tries to carry it would break.
+// The largest item must fit into a message even behind a chunk that is almost
+// full.
 func TestLargestItemFitsAMessage(t *testing.T) {
 	almost := item.New("account/a", 1, 1, make([]byte, chunkBytes-itemOverheadBytes-len("account/a")-1))
 	largest := item.New(strings.Repeat("k", MaxKeyBytes), 1<<60, 1<<60, make([]byte, MaxBodyBytes))
@@ -55,7 +53,7 @@
 	}
 	u := &peerpb.Update{Items: parts[0], Digest: 1, StoreRead: &peerpb.StoreRead{Watcher: 1, Count: 1 << 60, AgeMs: 1 << 30}}
 	if n := proto.Size(u); n > transport.MaxMessageBytes {
-		t.Errorf("message of %d bytes, at most %d are taken", n, transport.MaxMessageBytes)
+		t.Errorf("message of %d bytes, at most %d are accepted", n, transport.MaxMessageBytes)
 	}
 	if _, err := fromProto(parts[0][1]); err != nil {
 		t.Error(err)
@@ -70,13 +68,13 @@
 	return s
 }
 
-// BenchmarkChange is one change taken in and marked for all subscribers.
+// BenchmarkChange measures one change queued for all subscribers.
 func BenchmarkChange(b *testing.B) {
 	for _, subscribers := range []int{1, 32} {
 		b.Run(fmt.Sprintf("subscribers=%d", subscribers), func(b *testing.B) {
 			s := benchService(b)
 			for i := range subscribers {
-				if _, err := s.server.join(ref(fmt.Sprintf("vm%d", i))); err != nil {
+				if _, err := s.server.admit(ref(fmt.Sprintf("vm%d", i))); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -87,14 +85,14 @@
 					b.Fatal(err)
 				}
 				for _, sub := range s.server.subscribers {
-					s.hub.take(sub.waiter)
+					s.hub.take(sub.queue)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkCompareEqual is the answer to a periodic comparison that finds no
+// BenchmarkCompareEqual measures the response to a comparison that finds no
 // difference.
 func BenchmarkCompareEqual(b *testing.B) {
 	s := benchService(b)
--- a/spread/sourcerunner.go
+++ b/spread/sourcerunner.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// sourcePauseMin and sourcePauseMax bound the time before a source that
-	// failed is run again. They double and are jittered, so that the watchers
-	// don't come back to the store at one moment after an outage.
+	// sourcePauseMin and sourcePauseMax bound the backoff after a failed run.
+	// The pause doubles and is jittered, so that watchers do not reconnect
+	// simultaneously after an outage.
 	sourcePauseMin = 500 * time.Millisecond
 	sourcePauseMax = 5 * time.Second
-	// standInHeartbeats is how long a relay may receive from nobody before it
-	// watches the store itself.
-	standInHeartbeats = 2
+	// fallbackHeartbeats is how long a relay may be without a path to the store
+	// before it watches the store itself.
+	fallbackHeartbeats = 2
 )
 
-// StaleOffer tells that the store offered an older state than the one in force: it
-// was restored, or a replica that lags answered.
+// StaleOffer records that the store returned an older state than the active
+// one, because it was restored or a replica lags.
 type StaleOffer struct {
 	Key             string `json:"key"`
 	OfferedEpoch    uint64 `json:"offered_epoch"`
@@ -31,7 +31,7 @@
 	ActiveSequence  uint64 `json:"in_force_sequence"`
 }
 
-// sourceRunner runs the source while the node is a watcher.
+// sourceRunner runs the source while the node acts as a watcher.
 type sourceRunner struct {
 	service *Service
 
@@ -39,36 +39,37 @@
 	running bool
 	emitted bool
 	failure error
-	// readAt is when the source last read the store, as far as is known.
-	readAt time.Time
-	behind map[string]StaleOffer
+	// readAt is when the source is known to have last read the store.
+	readAt      time.Time
+	staleOffers map[string]StaleOffer
 }
 
 func newSourceRunner(s *Service) *sourceRunner {
-	return &sourceRunner{service: s, behind: map[string]StaleOffer{}}
+	return &sourceRunner{service: s, staleOffers: map[string]StaleOffer{}}
 }
 
 func (r *sourceRunner) run(ctx context.Context) {
 	if r.service.options.Source == nil {
 		return
 	}
-	for r.waitForDuty(ctx) {
+	for r.waitUntilNeeded(ctx) {
 		r.watch(ctx)
 	}
 }
 
-// waitForDuty returns true once the node should watch.
-func (r *sourceRunner) waitForDuty(ctx context.Context) bool {
-	unfed := time.Now()
+// waitUntilNeeded returns true once the node should watch the store, and false
+// when the context ends.
+func (r *sourceRunner) waitUntilNeeded(ctx context.Context) bool {
+	lastPath := time.Now()
 	for ctx.Err() == nil {
 		changed := r.service.planChanged()
-		if r.service.hasFeed() {
-			unfed = time.Now()
+		if r.service.upstreamHasStorePath() {
+			lastPath = time.Now()
 		}
-		if r.onDuty(time.Since(unfed)) {
+		if r.shouldWatch(time.Since(lastPath)) {
 			return true
 		}
-		t := time.NewTimer(r.service.jitter(r.service.options.Heartbeat, jitterShare))
+		t := time.NewTimer(r.service.jitter(r.service.options.Heartbeat, jitterFraction))
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -79,22 +80,23 @@
 	return false
 }
 
-// onDuty tells whether the node should watch the store. A relay stands in when
-// it has received from nobody for a while: the VM list lags, and both watchers
-// of a region may have gone with their rack while it still names them.
-func (r *sourceRunner) onDuty(unfed time.Duration) bool {
+// shouldWatch reports whether the node should watch the store. A relay without
+// a path to the store takes over, because both watchers of a region may be down
+// while the VM list still contains them.
+func (r *sourceRunner) shouldWatch(withoutPath time.Duration) bool {
 	switch r.service.plan.Load().Role {
 	case topology.Watcher:
 		return true
 	case topology.Relay:
-		limit := standInHeartbeats * r.service.options.Heartbeat
-		return unfed > r.service.jitter(limit, jitterShare)
+		limit := fallbackHeartbeats * r.service.options.Heartbeat
+		return withoutPath > r.service.jitter(limit, jitterFraction)
 	default:
 		return false
 	}
 }
 
-// watch runs the source until the node is off duty or the context ends.
+// watch runs the source until the node should no longer watch or the context
+// ends.
 func (r *sourceRunner) watch(parent context.Context) {
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
@@ -102,33 +104,33 @@
 	defer wg.Wait()
 	wg.Go(func() {
 		defer cancel()
-		r.waitForRelief(ctx)
+		r.waitUntilNotNeeded(ctx)
 	})
 	pause := sourcePauseMin
 	for ctx.Err() == nil {
-		if r.once(ctx) {
+		if r.runOnce(ctx) {
 			pause = sourcePauseMin
 		}
-		if !wait.For(ctx, r.service.jitter(pause, jitterShare)) {
+		if !wait.For(ctx, r.service.jitter(pause, jitterFraction)) {
 			return
 		}
 		pause = min(2*pause, sourcePauseMax)
 	}
 }
 
-// waitForRelief returns when the node need not watch any more.
-func (r *sourceRunner) waitForRelief(ctx context.Context) {
+// waitUntilNotNeeded returns when the node should no longer watch the store.
+func (r *sourceRunner) waitUntilNotNeeded(ctx context.Context) {
 	for ctx.Err() == nil {
 		role := r.service.plan.Load().Role
-		if role == topology.Leaf || role == topology.Relay && r.service.hasFeed() {
+		if role == topology.Leaf || role == topology.Relay && r.service.upstreamHasStorePath() {
 			return
 		}
-		wait.For(ctx, r.service.jitter(r.service.options.Heartbeat, jitterShare))
+		wait.For(ctx, r.service.jitter(r.service.options.Heartbeat, jitterFraction))
 	}
 }
 
-// once runs the source once and reports whether it read anything.
-func (r *sourceRunner) once(ctx context.Context) bool {
+// runOnce runs the source once and reports whether it read anything.
+func (r *sourceRunner) runOnce(ctx context.Context) bool {
 	r.set(true, nil)
 	err := r.service.options.Source.Run(ctx, r.emit)
 	r.mu.Lock()
@@ -152,9 +154,9 @@
 	r.failure = err
 }
 
-// emit takes one state from the store.
+// emit applies one state from the store.
 func (r *sourceRunner) emit(key string, epoch, sequence uint64, body []byte) {
-	if err := check(key, body); err != nil {
+	if err := validate(key, body); err != nil {
 		r.service.log.Warnf("%v", err)
 		return
 	}
@@ -163,21 +165,21 @@
 	r.mu.Lock()
 	r.emitted = true
 	if outcome != item.Stale {
-		delete(r.behind, key)
+		delete(r.staleOffers, key)
 	}
 	r.mu.Unlock()
 	if outcome == item.Stale {
-		r.noteBehind(it)
+		r.recordStaleOffer(it)
 	}
 }
 
-// noteBehind records an older state that the store offered. The node keeps
-// what it has; status and the log show the operator that the store went back.
-func (r *sourceRunner) noteBehind(offered item.Item) {
+// recordStaleOffer records an older state returned by the store. The node keeps
+// the newer state; status and log report the difference to the operator.
+func (r *sourceRunner) recordStaleOffer(offered item.Item) {
 	have, _ := r.service.Snapshot().Get(offered.Key)
 	r.mu.Lock()
-	_, known := r.behind[offered.Key]
-	r.behind[offered.Key] = StaleOffer{
+	_, known := r.staleOffers[offered.Key]
+	r.staleOffers[offered.Key] = StaleOffer{
 		Key:             offered.Key,
 		OfferedEpoch:    offered.Epoch,
 		OfferedSequence: offered.Sequence,
@@ -186,12 +188,12 @@
 	}
 	r.mu.Unlock()
 	if !known {
-		r.service.log.Warnf("spread: store has %s at %d.%d, in force is %d.%d", offered.Key, offered.Epoch, offered.Sequence, have.Epoch, have.Sequence)
+		r.service.log.Warnf("spread: store returned %s at older version %d.%d, active version is %d.%d", offered.Key, offered.Epoch, offered.Sequence, have.Epoch, have.Sequence)
 	}
 }
 
-// lastRead returns when the source last read the store. Of a source that does
-// not tell, a run that has read something counts as reading until it fails.
+// lastRead returns when the source last read the store. A source that does not
+// implement LastReader counts as reading until its run ends.
 func (r *sourceRunner) lastRead() (time.Time, bool) {
 	if reader, ok := r.service.options.Source.(LastReader); ok {
 		at := reader.LastRead()
@@ -205,29 +207,29 @@
 	return r.readAt, !r.readAt.IsZero()
 }
 
-// healthy reports whether the source has read the store in its present run.
+// healthy reports whether the source has read the store in its current run.
 func (r *sourceRunner) healthy() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running && r.emitted
 }
 
-// hasFeed reports whether an upstream leads to the store.
-func (s *Service) hasFeed() bool {
-	for _, f := range s.follows {
-		if _, fed := f.state(); fed {
+// upstreamHasStorePath reports whether an upstream has a path to the store.
+func (s *Service) upstreamHasStorePath() bool {
+	for _, f := range s.subscriptions {
+		if _, hasStorePath := f.state(); hasStorePath {
 			return true
 		}
 	}
 	return false
 }
 
-// fed reports whether the node leads to the store: through its own source or
-// through an upstream. A watcher that knows no other is as near as one can be.
-func (s *Service) fed() bool {
+// hasStorePath reports whether the node has a path to the store through its own
+// source or an upstream. A watcher that knows no other watcher always has one.
+func (s *Service) hasStorePath() bool {
 	plan := s.plan.Load()
 	if plan.Role == topology.Watcher && len(plan.Watchers) == 0 {
 		return true
 	}
-	return s.source.healthy() || s.hasFeed()
+	return s.source.healthy() || s.upstreamHasStorePath()
 }
--- a/spread/state_test.go
+++ b/spread/state_test.go
@@ -15,45 +15,43 @@
 	"github.com/yuccaroute/yuccaroute/spread/topology"
 )
 
-// The store is out for ten minutes and comes back. Only the watchers may try it
-// meanwhile, each with pauses, and changes made then must be in force within
-// seconds of its return.
+// During a store outage only the watchers may retry, with pauses, and changes
+// must become active soon after it ends.
 func TestStoreOutage(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		f.store.setOut(true)
-		f.after(time.Minute)
-		f.store.begun()
+		f.store.setUnavailable(true)
+		f.advance(time.Minute)
+		f.store.takeRuns()
 		const outage = 10 * time.Minute
-		f.after(outage)
+		f.advance(outage)
 		watchers := 3 * topology.WatchersPerRegion
 		// The longest pause less its jitter.
 		limit := watchers * int(outage/(sourcePauseMax*8/10))
-		if n := f.store.begun(); n > limit {
+		if n := f.store.takeRuns(); n > limit {
 			f.t.Errorf("%d attempts, at most %d expected", n, limit)
 		}
 		f.mustHave(account(1))
 		f.store.put(account(2))
-		f.store.setOut(false)
-		f.after(inForce)
+		f.store.setUnavailable(false)
+		f.advance(convergeTimeout)
 		f.mustHave(account(2))
-		if n := f.store.begun(); n > 2*watchers {
-			f.t.Errorf("%d attempts when it returned", n)
+		if n := f.store.takeRuns(); n > 2*watchers {
+			f.t.Errorf("%d attempts after the outage", n)
 		}
 	})
 }
 
-// A VM starts while the store is out. It must learn what is in force from its
-// peers before it says it is ready, and a VM that is new itself is no peer to
-// learn from.
-func TestNewNodesWhileStoreIsOut(t *testing.T) {
+// A VM that starts during a store outage must learn the active items from
+// synchronized peers before it is ready.
+func TestNewNodesDuringStoreOutage(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		f.store.setOut(true)
-		f.after(time.Second)
+		f.store.setUnavailable(true)
+		f.advance(time.Second)
 		want := account(2)
 		if err := f.byRole(topology.Leaf).Publish(want.Key, want.Epoch, want.Sequence, want.Body); err != nil {
 			f.t.Fatal(err)
 		}
-		f.after(time.Second)
+		f.advance(time.Second)
 		var fresh []*testNode
 		for range 4 {
 			fresh = append(fresh, f.start(f.addVM("r1", "r1-p0")))
@@ -62,12 +60,12 @@
 	})
 }
 
-// mustLearn steps time until all nodes are ready; none may be so without the
+// mustLearn waits until all nodes are ready; none may be ready without the
 // item.
 func (f *testFleet) mustLearn(nodes []*testNode, want item.Item) {
 	f.t.Helper()
 	const step = 5 * time.Millisecond
-	for range int(inForce / step) {
+	for range int(convergeTimeout / step) {
 		ready := 0
 		for _, n := range nodes {
 			if !n.Ready() {
@@ -81,87 +79,86 @@
 		if ready == len(nodes) {
 			return
 		}
-		f.after(step)
+		f.advance(step)
 	}
-	f.t.Fatalf("nodes are not ready after %s", inForce)
+	f.t.Fatalf("nodes are not ready after %s", convergeTimeout)
 }
 
-// The whole fleet starts while the store is out: nobody knows anything, and
-// nobody may say it is ready because all agree on nothing.
+// A fleet that starts without the store must not become ready because all nodes
+// agree on an empty table.
 func TestFleetStartsWithoutStore(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		f.store.setOut(true)
+		f.store.setUnavailable(true)
 		for _, n := range f.nodes {
 			f.kill(n)
 		}
 		for _, m := range topology.FromList(f.list) {
 			f.start(m)
 		}
-		f.after(time.Minute)
+		f.advance(time.Minute)
 		for vm, n := range f.nodes {
 			if n.Ready() {
-				f.t.Fatalf("%s is ready and knows nothing", vm)
+				f.t.Fatalf("%s is ready without items", vm)
 			}
 		}
-		f.store.setOut(false)
-		f.after(settle)
+		f.store.setUnavailable(false)
+		f.advance(settleTime)
 		f.mustHave(account(1))
 	})
 }
 
-// The store is restored from a copy and offers older states; then a change is
-// written that is later than the copy but older than what is in force. No node
-// may take either, and status must name the key.
+// No node may take older states from a restored store, and status must report
+// the key.
 func TestRestoredStoreOffersOlder(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		f.store.put(account(9))
-		f.after(time.Second)
-		f.neverBack("account/daehan")
+		f.advance(time.Second)
+		f.requireMonotonic("account/daehan")
 		f.store.put(account(3))
-		f.after(time.Minute)
+		f.advance(time.Minute)
 		f.store.put(account(4))
-		f.after(time.Minute)
+		f.advance(time.Minute)
 		f.mustHave(account(9))
-		behind := f.byRole(topology.Watcher).Status().StaleOffers
-		if len(behind) != 1 || behind[0].OfferedSequence != 4 || behind[0].ActiveSequence != 9 {
-			f.t.Errorf("behind: %+v", behind)
+		staleOffers := f.byRole(topology.Watcher).Status().StaleOffers
+		if len(staleOffers) != 1 || staleOffers[0].OfferedSequence != 4 || staleOffers[0].ActiveSequence != 9 {
+			f.t.Errorf("stale offers: %+v", staleOffers)
 		}
 	})
 }
 
-// neverBack fails the test when a node's listener is given an older state
-// after a later one.
-func (f *testFleet) neverBack(prefix string) {
+// requireMonotonic fails the test when a listener receives an older state after
+// a newer one.
+func (f *testFleet) requireMonotonic(prefix string) {
 	for _, n := range f.nodes {
-		f.neverBackOn(n, prefix)
+		f.requireMonotonicOn(n, prefix)
 	}
 }
 
-func (f *testFleet) neverBackOn(n *testNode, prefix string) {
+func (f *testFleet) requireMonotonicOn(n *testNode, prefix string) {
 	last := map[string]item.Item{}
 	n.OnItem(prefix, func(it item.Item) {
-		// Content has no versions: it is dropped and may be named again.
+		// Content is not versioned: it may be removed and referenced again.
 		if content.IsKey(it.Key) {
 			return
 		}
 		if old, ok := last[it.Key]; ok && !it.NewerThan(old) {
-			f.t.Errorf("%s was given %s %d.%d after %d.%d", n.member.VM, it.Key, it.Epoch, it.Sequence, old.Epoch, old.Sequence)
+			f.t.Errorf("%s received %s %d.%d after %d.%d", n.member.VM, it.Key, it.Epoch, it.Sequence, old.Epoch, old.Sequence)
 		}
 		last[it.Key] = it
 	})
 }
 
-// Two watchers read different states under one version, from two replicas of a
-// store that was restored. All nodes must settle on one and the same.
-func TestWatchersDisagree(t *testing.T) {
+// When watchers read different states with the same version, all nodes must
+// converge on one of them.
+func TestConflictingVersionsConverge(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
-		f.store.setOut(true)
-		f.after(time.Second)
+		f.store.setUnavailable(true)
+		f.advance(time.Second)
 		one := item.New("account/daehan", 1, 2, []byte("one"))
 		other := item.New("account/daehan", 1, 2, []byte("other"))
 		f.inRegion("r0", topology.Watcher).source.emit(one.Key, 1, 2, one.Body)
 		f.inRegion("r1", topology.Watcher).source.emit(other.Key, 1, 2, other.Body)
-		f.after(inForce)
+		f.advance(convergeTimeout)
 		if other.NewerThan(one) {
 			one = other
 		}
@@ -169,30 +166,29 @@
 	})
 }
 
-// A VM is paused for ten minutes while changes arrive, and then resumes; what
-// others sent it before the pause arrives late. It must not be ready by its
-// old items, and must not go back.
+// A resumed VM must not be ready with outdated items, and must not replace
+// newer items by delayed older ones.
 func TestPausedNodeResumes(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		paused := f.byRole(topology.Leaf)
-		f.neverBack("account/daehan")
+		f.requireMonotonic("account/daehan")
 		f.net.setBlocked(func(from, to string) bool {
 			return from == paused.member.Address || to == paused.member.Address
 		})
 		for sequence := uint64(2); sequence < 12; sequence++ {
 			f.store.put(account(sequence))
-			f.after(time.Minute)
+			f.advance(time.Minute)
 		}
-		paused.ready.reset()
+		paused.readiness.reset()
 		f.net.setBlocked(func(string, string) bool { return false })
 		f.mustLearn([]*testNode{paused}, account(11))
 		f.mustHave(account(11))
 	})
 }
 
-// The pause itself is seen as a gap between two rounds of a loop, by whichever
-// clock moved.
-func TestPauseIsSeen(t *testing.T) {
+// A pause must be detected by whichever of the monotonic and wall clocks
+// advanced.
+func TestPauseDetection(t *testing.T) {
 	start := time.Now()
 	if got := pausedFor(start, start.Add(time.Minute)); got != time.Minute {
 		t.Errorf("monotonic clock moved: %s", got)
@@ -203,28 +199,26 @@
 	}
 }
 
-// An operator asks which nodes have a change just as a relay in each region
-// begins to hang and one node is dead. These must be listed as not reached;
-// the watchers above those relays must not wait for them until it is too late
-// to answer for the rest.
-func TestSurveyNamesTheUnreachable(t *testing.T) {
+// Hung relays and dead nodes must be reported as unreachable, and must not
+// prevent the other nodes below a watcher from answering in time.
+func TestQueryVersionsReportsUnreachable(t *testing.T) {
 	inFleetOf(t, 3, 2, 20, func(f *testFleet) {
 		f.kill(f.byRole(topology.Leaf))
 		f.store.put(account(2))
-		f.after(inForce)
+		f.advance(convergeTimeout)
 		hung := map[string]bool{}
 		for _, region := range []string{"r0", "r1", "r2"} {
 			hung[f.inRegion(region, topology.Relay).member.Address] = true
 		}
 		f.net.setBlocked(func(from, to string) bool { return hung[to] })
-		f.net.counted()
+		f.net.takeCounts()
 		got := f.inRegion("r2", topology.Leaf).QueryVersions(f.t.Context(), "account/daehan")
 		if len(got.Unreachable) != 4 || len(got.Rows) != len(f.nodes)-3 {
 			f.t.Fatalf("%d rows, unreachable %v", len(got.Rows), got.Unreachable)
 		}
-		// Each node answers once. A watcher that answered too late would make
-		// all below it be asked again.
-		answers := f.net.counted()["survey"]
+		// Each node answers once. A watcher that answered too late would cause
+		// the nodes below it to be queried again.
+		answers := f.net.takeCounts()["survey"]
 		if answers > len(f.nodes) {
 			f.t.Errorf("%d answers for %d nodes", answers, len(f.nodes))
 		}
@@ -236,9 +230,8 @@
 	})
 }
 
-// A failure domain of 70 VMs hangs and an operator asks which nodes have a
-// change. The first VMs asked take no answer; the others must still be asked.
-func TestSurveyPastManyThatHang(t *testing.T) {
+// Many hung nodes must not prevent the others from being queried.
+func TestQueryVersionsWithManyHungNodes(t *testing.T) {
 	inFleetOf(t, 1, 2, 70, func(f *testFleet) {
 		hung := map[string]bool{}
 		for _, n := range f.nodes {
@@ -246,7 +239,7 @@
 		}
 		asks := f.nodes["r0-p1-vm100"]
 		f.net.setBlocked(func(from, to string) bool { return hung[to] || hung[from] })
-		// Nobody below the watchers is found through them.
+		// Without watchers in the plan, all peers are queried directly.
 		asks.plan.Store(&topology.Plan{Peers: asks.plan.Load().Peers})
 		got := asks.QueryVersions(f.t.Context(), "account/daehan")
 		if len(got.Unreachable) != 70 || len(got.Rows) != 70 {
@@ -255,9 +248,8 @@
 	})
 }
 
-// A VM subscribes again while its old stream is half-open. The old one must
-// end, or the relay would go on sending into it.
-func TestOldStreamOfARestartedVMEnds(t *testing.T) {
+// When a VM subscribes again, its previous stream must end.
+func TestResubscribeEndsOldStream(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		relay := f.byRole(topology.Relay)
 		l := link{net: f.net, from: "127.9.9.9:1", to: relay.member.Address}
@@ -268,38 +260,38 @@
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		f.after(time.Second)
+		f.advance(time.Second)
 		if _, err := client.Subscribe(ctx, &peerpb.SubscribeRequest{Node: ref("a")}); err != nil {
 			f.t.Fatal(err)
 		}
-		f.after(time.Second)
+		f.advance(time.Second)
 		if _, err := old.Recv(); err != nil {
 			f.t.Fatal(err)
 		}
 		if _, err := old.Recv(); status.Code(err) != codes.Aborted {
-			f.t.Errorf("old stream goes on: %v", err)
+			f.t.Errorf("previous stream was not aborted: %v", err)
 		}
 	})
 }
 
-// A restarted VM subscribes again while its old stream is half-open. It takes
-// over its place; otherwise a few restarts would use up the relay's bound.
-func TestRestartTakesOverItsPlace(t *testing.T) {
+// A VM that subscribes again must replace its previous subscription rather than
+// use up the subscriber limit.
+func TestResubscribeReplacesSubscriber(t *testing.T) {
 	s, err := New(Options{Ref: ref("a"), Members: noMembers, Dial: noDial})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 3 * topology.MaxSubscribers {
-		if _, err := s.server.join(ref("b")); err != nil {
+		if _, err := s.server.admit(ref("b")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := len(s.server.list()); n != 1 || len(s.hub.waiters) != 2 {
-		t.Errorf("%d subscribers, %d waiters", n, len(s.hub.waiters))
+	if n := len(s.server.list()); n != 1 || len(s.hub.queues) != 2 {
+		t.Errorf("%d subscribers, %d queues", n, len(s.hub.queues))
 	}
 }
 
-// More nodes than a relay takes ask for it: the rest must be turned away.
+// Subscribers beyond the limit must be rejected.
 func TestSubscribersAreBounded(t *testing.T) {
 	s, err := New(Options{Ref: ref("a"), Members: noMembers, Dial: noDial})
 	if err != nil {
@@ -307,17 +299,16 @@
 	}
 	refused := 0
 	for i := range topology.MaxSubscribers + 5 {
-		if _, err := s.server.join(ref(string(rune('b' + i)))); err != nil {
+		if _, err := s.server.admit(ref(string(rune('b' + i)))); err != nil {
 			refused++
 		}
 	}
 	if refused != 5 {
-		t.Errorf("%d refused", refused)
+		t.Errorf("%d rejected", refused)
 	}
 }
 
-// A listener is slow while one key changes often: it may miss states between,
-// not the last, and others' items in the meantime keep their order.
+// A slow listener may skip intermediate states but must receive the latest.
 func TestSlowListenerGetsTheLatest(t *testing.T) {
 	inFleet(t, func(f *testFleet) {
 		var mu sync.Mutex
@@ -331,9 +322,9 @@
 		})
 		for sequence := uint64(2); sequence < 30; sequence++ {
 			f.store.put(account(sequence))
-			f.after(100 * time.Millisecond)
+			f.advance(100 * time.Millisecond)
 		}
-		f.after(inForce)
+		f.advance(convergeTimeout)
 		if got[0] != 1 || got[len(got)-1] != 29 || len(got) >= 29 {
 			f.t.Errorf("got %v", got)
 		}
--- a/spread/status.go
+++ b/spread/status.go
@@ -5,50 +5,52 @@
 	"time"
 )
 
-// Status is what the node knows at one moment.
+// Status is a snapshot of the node's state.
 type Status struct {
 	VM     string `json:"vm"`
 	Role   string `json:"role"`
 	Ready  bool   `json:"ready"`
 	Items  int    `json:"items"`
 	Digest uint64 `json:"digest"`
-	// Upstreams names the nodes it receives from now.
+	// Upstreams lists the VMs that the node currently receives from.
 	Upstreams []string `json:"upstreams"`
-	// HasStorePath tells whether its source reads the store or an upstream leads to a
-	// watcher. It does not tell whether that watcher reaches the store.
+	// HasStorePath reports whether the node's source reads the store or an
+	// upstream has a path to a watcher. It does not imply that the watcher
+	// reaches the store.
 	HasStorePath bool `json:"fed"`
-	// StoreAge is the time since the latest reading of the store by a watcher
-	// that this node knows of, -1 when it knows of none. What was accepted
-	// after that may be missing here.
+	// StoreAge is the time since the latest known read of the store by any
+	// watcher, -1 if none is known. Later changes may be missing on this node.
 	StoreAge time.Duration `json:"store_age_ns"`
-	// Subscribers names the nodes that receive from it.
+	// Subscribers lists the VMs that receive from this node.
 	Subscribers []string `json:"subscribers"`
-	// Watching tells that it watches the store; SourceError is why not.
+	// Watching reports whether the node watches the store; SourceError is the
+	// last error of the source.
 	Watching    bool   `json:"watching"`
 	SourceError string `json:"source_error"`
-	// StaleOffers lists keys of which the store offered an older state.
+	// StaleOffers lists the keys for which the store returned an older state.
 	StaleOffers []StaleOffer `json:"behind"`
-	// Unsent is how many published items no watcher has taken yet.
+	// Unsent is the number of published items that no watcher has accepted yet.
 	Unsent int `json:"unsent"`
-	// Peers are the nodes heard so far; one not listed was not heard.
+	// Peers lists the peers contacted so far.
 	Peers []PeerStatus `json:"peers"`
 }
 
-// PeerStatus is what was known of a peer when it was last heard.
+// PeerStatus is what was known of a peer at the last contact.
 type PeerStatus struct {
 	VM          string `json:"vm"`
 	Incarnation uint64 `json:"incarnation"`
-	// Equal tells that all items were the same HeardAge ago. It says nothing
-	// about now.
+	// Equal reports whether both nodes held the same states at the last
+	// contact, LastContactAge ago.
 	Equal          bool          `json:"equal"`
 	LastContactAge time.Duration `json:"heard_age_ns"`
-	// EqualAge is the time since it was last equal, -1 if it never was.
+	// EqualAge is the time since both nodes last held the same states, -1 if
+	// they never did.
 	EqualAge time.Duration `json:"equal_age_ns"`
 }
 
-// Status returns what the node knows.
+// Status returns the current state of the node.
 func (s *Service) Status() Status {
-	s.noteOwnRead()
+	s.recordOwnRead()
 	snap := s.Snapshot()
 	out := Status{
 		VM:           s.options.Ref.Vm,
@@ -56,12 +58,12 @@
 		Ready:        s.Ready(),
 		Items:        snap.Len(),
 		Digest:       snap.Digest(),
-		HasStorePath: s.fed(),
-		StoreAge:     s.reads.age(),
+		HasStorePath: s.hasStorePath(),
+		StoreAge:     s.storeReads.age(),
 		Unsent:       s.pushes.len(),
-		Peers:        s.heard.list(),
+		Peers:        s.peers.list(),
 	}
-	for _, f := range s.follows {
+	for _, f := range s.subscriptions {
 		if vm, _ := f.state(); vm != "" {
 			out.Upstreams = append(out.Upstreams, vm)
 		}
@@ -81,7 +83,7 @@
 	if r.failure != nil {
 		out.SourceError = r.failure.Error()
 	}
-	for _, b := range r.behind {
+	for _, b := range r.staleOffers {
 		out.StaleOffers = append(out.StaleOffers, b)
 	}
 	sort.Slice(out.StaleOffers, func(i, j int) bool { return out.StaleOffers[i].Key < out.StaleOffers[j].Key })
@@ -93,14 +95,14 @@
 	return len(q.keys)
 }
 
-// list returns the peers heard, sorted by VM.
-func (t *heardTable) list() []PeerStatus {
+// list returns the contacted peers, sorted by VM.
+func (t *peerTable) list() []PeerStatus {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]PeerStatus, 0, len(t.peers))
 	for vm, p := range t.peers {
-		status := PeerStatus{VM: vm, Incarnation: p.incarnation, Equal: p.equal, LastContactAge: now.Sub(p.heardAt), EqualAge: -1}
+		status := PeerStatus{VM: vm, Incarnation: p.incarnation, Equal: p.equal, LastContactAge: now.Sub(p.lastContact), EqualAge: -1}
 		if !p.equalAt.IsZero() {
 			status.EqualAge = now.Sub(p.equalAt)
 		}
--- a/spread/subscription.go
+++ b/spread/subscription.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// silentHeartbeats is after how many heartbeats a silent stream is given
-	// up. A relay that hangs keeps its connections open, so no error shows it.
+	// silentHeartbeats is how long, in heartbeats, a stream may be silent
+	// before it is closed. A hung upstream keeps its connections open and
+	// returns no error.
 	silentHeartbeats = 2.5
-	// returnHeartbeats is how often a node looks whether it can go back to an
-	// upstream earlier in its order.
+	// returnHeartbeats is how often a node checks whether it can return to an
+	// upstream of higher preference.
 	returnHeartbeats = 30
 )
 
-// Reasons for which a stream is left.
+// Reasons for closing a stream.
 var (
-	errSilent = errors.New("spread: upstream is silent")
-	errLags   = errors.New("spread: upstream lags")
-	errCutOff = errors.New("spread: upstream receives from nobody")
-	errMoved  = errors.New("spread: another upstream comes first")
+	errSilent         = errors.New("spread: no message from upstream within the timeout")
+	errLagging        = errors.New("spread: upstream is outdated")
+	errNoStorePath    = errors.New("spread: upstream has no path to the store")
+	errBetterUpstream = errors.New("spread: another upstream is preferred")
 )
 
-// subscription keeps one stream from the best upstream that works.
+// subscription maintains one stream from the most preferred upstream that
+// works.
 type subscription struct {
 	service *Service
 	index   int
 
 	mu       sync.Mutex
 	selector *selector
-	// current is the upstream followed, empty when there is none.
+	// current is the upstream of the open stream, empty if there is none.
 	current string
-	// fed tells that the upstream said it leads to the store.
-	fed bool
+	// hasStorePath reports whether the upstream has a path to the store.
+	hasStorePath bool
 }
 
 func newSubscription(s *Service, index int) *subscription {
-	jitter := func(d time.Duration) time.Duration { return s.jitter(d, jitterShare) }
+	jitter := func(d time.Duration) time.Duration { return s.jitter(d, jitterFraction) }
 	return &subscription{
 		service:  s,
 		index:    index,
@@ -51,7 +53,7 @@
 	}
 }
 
-// run follows one upstream after the other until the context ends.
+// run subscribes to one upstream after another until the context ends.
 func (f *subscription) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := f.service.planChanged()
@@ -87,21 +89,21 @@
 	return f.selector.next(time.Now())
 }
 
-// ended records why a stream ended.
+// ended records the end of a stream and penalizes an upstream that failed.
 func (f *subscription) ended(vm string, after time.Duration, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.current = ""
-	f.fed = false
+	f.hasStorePath = false
 	f.selector.served(vm, after)
-	if errors.Is(err, errMoved) {
+	if errors.Is(err, errBetterUpstream) {
 		return
 	}
 	f.selector.fail(vm, time.Now())
-	f.service.log.Debugf("spread: left upstream %s after %s: %v", vm, after.Round(time.Millisecond), err)
+	f.service.log.Debugf("spread: disconnected from upstream %s after %s: %v", vm, after.Round(time.Millisecond), err)
 }
 
-// follow reads one stream until it ends or should be left.
+// follow reads one stream until it fails or should be closed.
 func (f *subscription) follow(ctx context.Context, m topology.Member) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -122,16 +124,16 @@
 		if err != nil {
 			return causeOr(ctx, err)
 		}
-		// Repairs are bounded by their own timeouts.
+		// Repairs have their own timeouts.
 		watchdog.Stop()
-		if err := r.take(ctx, u); err != nil {
+		if err := r.handle(ctx, u); err != nil {
 			return err
 		}
 		watchdog.Reset(silence)
 	}
 }
 
-// causeOr returns why the node itself ended the call, or the call's error.
+// causeOr returns the cause of a local cancellation, or else err.
 func causeOr(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
@@ -145,15 +147,15 @@
 	return f.current == vm
 }
 
-func (f *subscription) isFailing(vm string) bool {
+func (f *subscription) isPenalized(vm string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.selector.failing(vm, time.Now())
+	return f.selector.penalized(vm, time.Now())
 }
 
-// state returns the upstream followed and whether it leads to the store.
-func (f *subscription) state() (vm string, fed bool) {
+// state returns the current upstream and whether it has a path to the store.
+func (f *subscription) state() (vm string, hasStorePath bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.current, f.fed
+	return f.current, f.hasStorePath
 }
--- a/spread/survey.go
+++ b/spread/versions.go
@@ -11,69 +11,72 @@
 )
 
 const (
-	// surveyDepth is the deepest tree a survey goes down.
-	surveyDepth = 5
-	// surveyMargin is the part of its time that each level leaves to the one
-	// above, so that a level with a node that hangs still answers for the rest.
-	surveyMargin = 4
-	// surveyAtOnce bounds the nodes that one node asks at a time.
-	surveyAtOnce = 64
+	// maxQueryDepth bounds how many levels of the tree a version query
+	// descends.
+	maxQueryDepth = 5
+	// queryTimeShare is the divisor n: each level reserves 1/n of its remaining
+	// time for the level above, so that a hung node does not lose the answers
+	// of the others.
+	queryTimeShare = 4
+	// maxConcurrentQueries bounds the concurrent queries of one node.
+	maxConcurrentQueries = 64
 )
 
-// NodeVersion tells which state of a key a node had when it answered.
+// NodeVersion is the version of a key that a node had when it answered.
 type NodeVersion struct {
 	VM          string
 	Incarnation uint64
-	// Has is false when it knew no state of the key.
+	// Has is false when the node has no state of the key.
 	Has      bool
 	Epoch    uint64
 	Sequence uint64
 	Sum      uint64
 }
 
-// VersionReport is the answer of the nodes that could be reached.
+// VersionReport holds the answers of all reachable nodes.
 type VersionReport struct {
 	Key string
-	// Rows holds one row for each node that answered, sorted by VM.
+	// Rows holds one row per node that answered, sorted by VM.
 	Rows []NodeVersion
-	// Unreachable names listed VMs that did not answer in time; what they have
-	// is not known.
+	// Unreachable lists the VMs that did not answer in time; their versions are
+	// unknown.
 	Unreachable []string
 }
 
-// QueryVersions asks all nodes for their state of a key: down the tree from the
-// watchers, then those directly for whom nobody answered. It returns what it
-// has when the context ends, at the latest after four heartbeats.
+// QueryVersions asks all nodes for their version of a key: first down the tree
+// from the watchers, then directly those that have not answered. It returns the
+// answers received when the context ends or after four heartbeats.
 func (s *Service) QueryVersions(ctx context.Context, key string) VersionReport {
 	ctx, cancel := context.WithTimeout(ctx, 4*s.options.Heartbeat)
 	defer cancel()
 	rows := newRowSet()
-	rows.add(s.row(key))
+	rows.add(s.ownVersion(key))
 	plan := s.plan.Load()
-	first, done := shorter(ctx, 2)
-	s.ask(first, plan.Watchers, key, surveyDepth, rows)
+	subCtx, done := withShorterDeadline(ctx, 2)
+	s.query(subCtx, plan.Watchers, key, maxQueryDepth, rows)
 	done()
-	s.ask(ctx, rows.missing(plan.Peers), key, 0, rows)
-	return rows.survey(key, plan.Peers)
+	s.query(ctx, rows.missing(plan.Peers), key, 0, rows)
+	return rows.report(key, plan.Peers)
 }
 
 // Survey implements peerpb.SpreadServer.
 func (v *server) Survey(ctx context.Context, req *peerpb.SurveyRequest) (*peerpb.SurveyResponse, error) {
 	s := v.service
 	rows := newRowSet()
-	rows.add(s.row(req.GetKey()))
+	rows.add(s.ownVersion(req.GetKey()))
 	if req.GetDepth() > 0 {
-		depth := min(req.GetDepth(), surveyDepth) - 1
-		below, done := shorter(ctx, surveyMargin)
+		depth := min(req.GetDepth(), maxQueryDepth) - 1
+		subCtx, done := withShorterDeadline(ctx, queryTimeShare)
 		defer done()
-		s.ask(below, s.below(), req.GetKey(), depth, rows)
+		s.query(subCtx, s.nonWatcherSubscribers(), req.GetKey(), depth, rows)
 	}
 	return &peerpb.SurveyResponse{Rows: rows.list()}, nil
 }
 
-// below returns the subscribers that are not watchers: those are asked by the
-// node that began the survey, and follow each other in a circle.
-func (s *Service) below() []topology.Member {
+// nonWatcherSubscribers returns the subscribers that are not watchers. Watchers
+// are queried by the originating node and subscribe to each other, so
+// forwarding to them would loop.
+func (s *Service) nonWatcherSubscribers() []topology.Member {
 	watchers := map[string]bool{}
 	for _, m := range s.plan.Load().Watchers {
 		watchers[m.VM] = true
@@ -87,23 +90,23 @@
 	return out
 }
 
-// ask adds the answers of the members, many of them asked at once.
-func (s *Service) ask(ctx context.Context, members []topology.Member, key string, depth uint32, rows *rowSet) {
+// query queries the members concurrently and adds their answers.
+func (s *Service) query(ctx context.Context, members []topology.Member, key string, depth uint32, rows *rowSet) {
 	var wg sync.WaitGroup
-	turns := make(chan struct{}, surveyAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	for _, m := range members {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-turns }()
-			s.askOne(ctx, m, &peerpb.SurveyRequest{Key: key, Depth: depth}, rows)
+			defer func() { <-slots }()
+			s.queryPeer(ctx, m, &peerpb.SurveyRequest{Key: key, Depth: depth}, rows)
 		})
 	}
 	wg.Wait()
 }
 
-// askOne gives a node that asks no others one heartbeat, so that a few that
-// hang leave time for the rest.
-func (s *Service) askOne(ctx context.Context, m topology.Member, req *peerpb.SurveyRequest, rows *rowSet) {
+// queryPeer queries one peer. Peers that do not forward the query get one
+// heartbeat to answer, so that hung peers leave time for the others.
+func (s *Service) queryPeer(ctx context.Context, m topology.Member, req *peerpb.SurveyRequest, rows *rowSet) {
 	if req.Depth == 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, s.options.Heartbeat)
@@ -118,9 +121,9 @@
 	}
 }
 
-// row is the node's own row. Of keys that InForce does not know of, a deletion is
-// in force as soon as it arrives.
-func (s *Service) row(key string) *peerpb.SurveyRow {
+// ownVersion returns the node's own row. For keys that ActiveVersion does not
+// track, a deletion is active as soon as it is received.
+func (s *Service) ownVersion(key string) *peerpb.SurveyRow {
 	it, ok := s.Snapshot().Get(key)
 	row := &peerpb.SurveyRow{
 		Vm:          s.options.Ref.Vm,
@@ -144,8 +147,9 @@
 	return row
 }
 
-// shorter returns a context that ends one part of n before its parent.
-func shorter(ctx context.Context, n int) (context.Context, context.CancelFunc) {
+// withShorterDeadline returns a context that reserves 1/n of the remaining time
+// for the caller.
+func withShorterDeadline(ctx context.Context, n int) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
@@ -154,7 +158,7 @@
 	return context.WithTimeout(ctx, left-left/time.Duration(n))
 }
 
-// rowSet gathers rows; of two lives of a VM the later one counts.
+// rowSet collects rows and keeps the one of the latest incarnation of each VM.
 type rowSet struct {
 	mu   sync.Mutex
 	rows map[string]*peerpb.SurveyRow
@@ -195,7 +199,7 @@
 	return out
 }
 
-func (r *rowSet) survey(key string, members []topology.Member) VersionReport {
+func (r *rowSet) report(key string, members []topology.Member) VersionReport {
 	out := VersionReport{Key: key}
 	for _, row := range r.list() {
 		out.Rows = append(out.Rows, NodeVersion{
--- a/spread/vmlist_fixture_test.go
+++ b/spread/vmlist_fixture_test.go
@@ -22,20 +22,22 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// leavingKnown is how soon every node must know that a target leaves.
-const leavingKnown = 6 * time.Second
+// leavingDeadline is the time within which every node must know that a target
+// leaves.
+const leavingDeadline = 6 * time.Second
 
-// listService stands for the platform's VM list and counts its readings.
+// listService simulates the platform's VM list and counts its reads.
 type listService struct {
 	mu    sync.Mutex
 	list  membership.List
 	out   bool
 	reads int
-	// given is what some VMs are given instead, nil for no answer.
-	given map[string]*membership.List
+	// overrides holds the lists returned to some VMs instead; nil means an
+	// error.
+	overrides map[string]*membership.List
 }
 
-// listReader is the service as one VM sees it.
+// listReader is the service as seen by one VM.
 type listReader struct {
 	service *listService
 	vm      string
@@ -49,17 +51,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	given, special := s.given[r.vm]
-	if s.out || special && given == nil {
+	overrides, special := s.overrides[r.vm]
+	if s.out || special && overrides == nil {
 		return membership.List{}, store.ErrUnavailable
 	}
 	if special {
-		return *given, nil
+		return *overrides, nil
 	}
 	return s.list, nil
 }
 
-// set replaces the row of a VM, or adds one.
+// set replaces or adds the row of a VM.
 func (s *listService) set(vm membership.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +75,8 @@
 	edit(s)
 }
 
-// counted returns the readings since the last call.
-func (s *listService) counted() int {
+// takeCounts returns the number of reads since the last call.
+func (s *listService) takeCounts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reads := s.reads
@@ -82,14 +84,14 @@
 	return reads
 }
 
-// nodeList is the VM list of one node, connected as package node does it.
+// nodeList is the VM list of one node, connected as in package node.
 type nodeList struct {
 	*Service
 	view *view.View
 	feed *feed.Feed
-	// wentBack counts lists that were older than the one before.
-	wentBack atomic.Int64
-	seeds    atomic.Pointer[membership.VM]
+	// regressions counts lists that were older than the previous one.
+	regressions atomic.Int64
+	seeds       atomic.Pointer[membership.VM]
 }
 
 var _ feed.Spread = (*nodeList)(nil)
@@ -99,7 +101,7 @@
 	var last membership.List
 	l.view.Subscribe(func(s *view.Snapshot, _ view.Change) {
 		if last.Later(s.List) {
-			l.wentBack.Add(1)
+			l.regressions.Add(1)
 		}
 		last = s.List
 	})
@@ -146,20 +148,21 @@
 
 func (l *nodeList) age() time.Duration { return l.view.Current().Age(time.Now()) }
 
-// withLists runs a test on a fleet that has its VM list from a list service,
-// with 48 targets, before and after it has formed its tree.
-func withLists(t *testing.T, regions, places, perPlace int, started func(f *testFleet), test func(f *testFleet)) {
+// withLists runs a test on a fleet that reads its VM list, with 48 targets,
+// from a list service. started runs before the fleet has formed its tree, test
+// after.
+func withLists(t *testing.T, regions, domains, perDomain int, started func(f *testFleet), test func(f *testFleet)) {
 	t.Helper()
-	withTargets(t, regions, places, perPlace, 48, started, test)
+	withTargets(t, regions, domains, perDomain, 48, started, test)
 }
 
-func withTargets(t *testing.T, regions, places, perPlace, targets int, started func(f *testFleet), test func(f *testFleet)) {
+func withTargets(t *testing.T, regions, domains, perDomain, targets int, started func(f *testFleet), test func(f *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := newStoppedFleet(t, regions, places, perPlace)
+		f := newStoppedFleet(t, regions, domains, perDomain)
 		defer f.stop()
 		f.store.put(account(1))
-		f.lists = &listService{list: membership.List{VMs: membership.Normalize(f.list.VMs), Sequence: 1}, given: map[string]*membership.List{}}
+		f.lists = &listService{list: membership.List{VMs: membership.Normalize(f.list.VMs), Sequence: 1}, overrides: map[string]*membership.List{}}
 		for i := range targets {
 			f.lists.set(target(i, membership.StateLive))
 		}
@@ -167,13 +170,13 @@
 			f.start(m)
 		}
 		started(f)
-		f.after(settle)
-		f.lists.counted()
-		f.mustList(f.lists.list)
+		f.advance(settleTime)
+		f.lists.takeCounts()
+		f.mustHaveList(f.lists.list)
 		test(f)
 		for vm, n := range f.nodes {
-			if n.vms.wentBack.Load() > 0 {
-				f.t.Errorf("%s went from a list to an older one", vm)
+			if n.vms.regressions.Load() > 0 {
+				f.t.Errorf("%s replaced a list by an older one", vm)
 			}
 		}
 	})
@@ -192,14 +195,14 @@
 	}
 }
 
-// leave makes a target leave and returns the list from then on.
-func (f *testFleet) leave(i int) membership.List {
+// markLeaving marks a target as leaving and returns the resulting list.
+func (f *testFleet) markLeaving(i int) membership.List {
 	f.lists.set(target(i, membership.StateLeaving))
 	return f.lists.list
 }
 
-// mustList fails if a node has another list in force.
-func (f *testFleet) mustList(want membership.List) {
+// mustHaveList fails if a node uses a different list.
+func (f *testFleet) mustHaveList(want membership.List) {
 	f.t.Helper()
 	for vm, n := range f.nodes {
 		got := n.vms.view.Current()
