--- a/spread/topology/doc.go
+++ b/spread/topology/doc.go
@@ -1,13 +1,12 @@
-// Package topology chooses, from the VM list alone, which entry VMs watch the
-// store, which relay within a failure domain, and from whom a node receives.
-// Every node computes the choice for itself by rendezvous hashing; nothing is
-// agreed between nodes. Lists that differ for a while cost a worse tree, never
-// a wrong item, as items carry their versions.
+// Package topology selects, from the VM list alone, the entry VMs that watch
+// the store, the relays of each failure domain, and the upstreams of each node.
+// Every node computes the selection independently by rendezvous hashing. Nodes
+// with different lists may form a worse tree but never apply a wrong item,
+// because items are versioned.
 //
-//	store -> 2 watchers a region -> 2 relays a failure domain -> the others
+//	store -> 2 watchers per region -> 2 relays per failure domain -> leaves
 //
-// The watchers of a region follow each other, and each follows a watcher of a
-// neighbouring region, one in each direction of a ring of regions; so an item
-// published anywhere reaches all, and each link between regions is crossed by
-// few copies.
+// The watchers of a region subscribe to each other, and each subscribes to a
+// watcher of a neighbouring region, one in each direction of a ring of regions.
+// Published items thus reach all regions with few copies per inter-region link.
 package topology
--- a/spread/topology/fleet.go
+++ b/spread/topology/fleet.go
@@ -6,13 +6,13 @@
 	"sort"
 )
 
-// fleet is a list prepared for the choice.
+// fleet is a VM list indexed for the selection.
 type fleet struct {
 	members []Member
-	// ranked holds the VMs of each place that may be given a task, best first.
-	ranked map[string][]Member
-	// places holds the places of each region, sorted.
-	places map[string][]string
+	// candidates holds the selectable VMs of each failure domain, best first.
+	candidates map[string][]Member
+	// failureDomains holds the failure domains of each region, sorted.
+	failureDomains map[string][]string
 	// regions is sorted.
 	regions  []string
 	watchers map[string][]Member
@@ -20,25 +20,25 @@
 
 func newFleet(members []Member) *fleet {
 	f := &fleet{
-		members:  members,
-		ranked:   map[string][]Member{},
-		places:   map[string][]string{},
-		watchers: map[string][]Member{},
+		members:        members,
+		candidates:     map[string][]Member{},
+		failureDomains: map[string][]string{},
+		watchers:       map[string][]Member{},
 	}
 	for _, m := range members {
 		if m.Leaving {
 			continue
 		}
-		if _, ok := f.ranked[m.FailureDomain]; !ok {
-			f.places[m.Region] = append(f.places[m.Region], m.FailureDomain)
+		if _, ok := f.candidates[m.FailureDomain]; !ok {
+			f.failureDomains[m.Region] = append(f.failureDomains[m.Region], m.FailureDomain)
 		}
-		f.ranked[m.FailureDomain] = append(f.ranked[m.FailureDomain], m)
+		f.candidates[m.FailureDomain] = append(f.candidates[m.FailureDomain], m)
 	}
-	for place, ms := range f.ranked {
-		rank("relay/"+place, ms)
+	for domain, ms := range f.candidates {
+		rank("relay/"+domain, ms)
 	}
-	for region, places := range f.places {
-		sort.Strings(places)
+	for region, failureDomains := range f.failureDomains {
+		sort.Strings(failureDomains)
 		f.regions = append(f.regions, region)
 		f.watchers[region] = f.chooseWatchers(region)
 	}
@@ -48,15 +48,15 @@
 
 // rank sorts by rendezvous score for the task, best first.
 func rank(task string, ms []Member) {
-	type scored struct {
+	type scoredMember struct {
 		score  uint64
 		member Member
 	}
-	list := make([]scored, len(ms))
+	list := make([]scoredMember, len(ms))
 	for i, m := range ms {
-		list[i] = scored{score(task, m.VM), m}
+		list[i] = scoredMember{score(task, m.VM), m}
 	}
-	slices.SortFunc(list, func(a, b scored) int {
+	slices.SortFunc(list, func(a, b scoredMember) int {
 		if a.score != b.score {
 			return cmp.Compare(b.score, a.score)
 		}
@@ -67,13 +67,12 @@
 	}
 }
 
-// chooseWatchers takes the best VM of each place, then the best of those. Two
-// watchers in one failure domain would go out together; only a region with a
-// single failure domain has both there.
+// chooseWatchers selects the best VM of each failure domain, then the best of
+// those. Only a region with a single failure domain has both watchers in it.
 func (f *fleet) chooseWatchers(region string) []Member {
 	var first, rest []Member
-	for _, place := range f.places[region] {
-		ms := slices.Clone(f.ranked[place])
+	for _, domain := range f.failureDomains[region] {
+		ms := slices.Clone(f.candidates[domain])
 		rank("watch/"+region, ms)
 		first = append(first, ms[0])
 		rest = append(rest, ms[1:]...)
@@ -88,13 +87,14 @@
 	return contains(f.watchers[self.Region], self.VM)
 }
 
-// level returns the level of self in its place: the relays are 0, each level
-// below is FanOut times as wide. A VM without a task is one below the last.
+// level returns the level of self in its failure domain: relays are level 0,
+// and each further level is FanOut times as wide. A VM that is not selectable
+// is placed after the last one.
 func (f *fleet) level(self Member) int {
-	ranked := f.ranked[self.FailureDomain]
-	at := slices.IndexFunc(ranked, func(m Member) bool { return m.VM == self.VM })
+	candidates := f.candidates[self.FailureDomain]
+	at := slices.IndexFunc(candidates, func(m Member) bool { return m.VM == self.VM })
 	if at < 0 {
-		at = max(len(ranked), RelaysPerFailureDomain)
+		at = max(len(candidates), RelaysPerFailureDomain)
 	}
 	level, width := 0, RelaysPerFailureDomain
 	for at >= width {
@@ -105,16 +105,16 @@
 	return level
 }
 
-// atLevel returns the VMs of one level of a place.
-func (f *fleet) atLevel(place string, level int) []Member {
+// atLevel returns the VMs of one level of a failure domain.
+func (f *fleet) atLevel(domain string, level int) []Member {
 	from, width := 0, RelaysPerFailureDomain
 	for range level {
 		from += width
 		width *= FanOut
 	}
-	ranked := f.ranked[place]
-	from = min(from, len(ranked))
-	return ranked[from:min(from+width, len(ranked))]
+	candidates := f.candidates[domain]
+	from = min(from, len(candidates))
+	return candidates[from:min(from+width, len(candidates))]
 }
 
 func contains(ms []Member, vm string) bool {
--- a/spread/topology/member.go
+++ b/spread/topology/member.go
@@ -6,17 +6,17 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// Member is an entry VM.
+// Member is an entry VM of the VM list.
 type Member struct {
 	VM            string
 	Region        string
 	FailureDomain string
 	Address       string
-	// Leaving VMs are served but chosen for no task.
+	// Leaving VMs keep their upstreams but are not selected for any role.
 	Leaving bool
 }
 
-// FromList returns the entry VMs of a list that name an address for peers.
+// FromList returns the entry VMs of a list that have a peer address.
 func FromList(list membership.List) []Member {
 	out := make([]Member, 0, len(list.VMs))
 	for i := range list.VMs {
@@ -35,8 +35,8 @@
 	return out
 }
 
-// score is the rendezvous score of a VM for a task; the highest is chosen. A
-// VM that joins or leaves changes only choices in which it comes first.
+// score is the rendezvous score of a VM for a task; the highest wins. A VM that
+// joins or leaves affects only the selections that it wins.
 func score(task, vm string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/spread/topology/plan.go
+++ b/spread/topology/plan.go
@@ -1,24 +1,24 @@
 package topology
 
-// The shape of the tree.
+// Dimensions of the tree.
 const (
-	// WatchersPerRegion is how many VMs of a region watch the store.
+	// WatchersPerRegion is the number of VMs per region that watch the store.
 	WatchersPerRegion = 2
-	// RelaysPerFailureDomain is how many VMs relay into a failure domain.
+	// RelaysPerFailureDomain is the number of relays per failure domain.
 	RelaysPerFailureDomain = 2
-	// FanOut is how many subscribers a node is planned to serve.
+	// FanOut is the planned number of subscribers per node.
 	FanOut = 16
-	// MaxSubscribers is how many it takes at most: all of a failure domain's
-	// when the other relay is gone.
+	// MaxSubscribers is the limit of subscribers per node: all of a failure
+	// domain when the other relay is down.
 	MaxSubscribers = RelaysPerFailureDomain * FanOut
-	// maxUpstreams bounds the order in which a node tries others.
+	// maxUpstreams bounds the number of upstream candidates.
 	maxUpstreams = 8
 )
 
-// Role is what a node does in the tree.
+// Role is a node's function in the tree.
 type Role uint8
 
-// The roles.
+// Roles of a node.
 const (
 	Leaf Role = iota
 	Relay
@@ -37,22 +37,22 @@
 	}
 }
 
-// Plan is what one node does with one list.
+// Plan is a node's role, upstreams and peers for one VM list.
 type Plan struct {
 	Role Role
 	// Level is the node's level in its failure domain, 0 for a relay.
 	Level int
-	// Upstreams lists for each subscription the node keeps the VMs to try, in
-	// order. Watchers keep two, all others one.
+	// Upstreams lists the candidates of each subscription in order of
+	// preference. Watchers have two subscriptions, all other nodes one.
 	Upstreams [][]Member
-	// Watchers lists all other watchers, the own region's first.
+	// Watchers lists all other watchers, those of the same region first.
 	Watchers []Member
 	// Peers lists all other entry VMs.
 	Peers []Member
 }
 
-// Build computes the plan of self. Self need not be in the list, which may
-// lag; it is then a leaf that nobody follows.
+// Build computes the plan of self. If the list does not contain self yet, self
+// is a leaf without subscribers.
 func Build(members []Member, self Member) Plan {
 	f := newFleet(members)
 	p := Plan{Peers: f.peers(self)}
@@ -61,7 +61,7 @@
 	switch {
 	case f.isWatcher(self):
 		p.Role = Watcher
-		p.Upstreams = [][]Member{f.mates(self), f.neighbours(self)}
+		p.Upstreams = [][]Member{f.sameRegionWatchers(self), f.remoteWatchers(self)}
 	case p.Level == 0:
 		p.Role = Relay
 		p.Upstreams = [][]Member{limit(f.relayUpstreams(self))}
--- a/spread/topology/plan_test.go
+++ b/spread/topology/plan_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// vms returns a fleet of regions with places and VMs each, by position.
-func vms(regions, places, perPlace int) []Member {
+// vms returns a fleet of the given shape.
+func vms(regions, failureDomains, perDomain int) []Member {
 	var out []Member
 	for r := range regions {
-		for p := range places {
-			for v := range perPlace {
+		for p := range failureDomains {
+			for v := range perDomain {
 				out = append(out, Member{
 					VM:            fmt.Sprintf("r%d-p%d-vm%d", r, p, v),
 					Region:        fmt.Sprintf("r%d", r),
@@ -22,8 +22,8 @@
 	return out
 }
 
-// load counts how many VMs name each one first, and the watchers.
-func load(members []Member) (first map[string]int, watchers int) {
+// firstChoices counts how many VMs prefer each upstream, and the watchers.
+func firstChoices(members []Member) (first map[string]int, watchers int) {
 	first = map[string]int{}
 	for _, m := range members {
 		p := Build(members, m)
@@ -39,12 +39,12 @@
 	return first, watchers
 }
 
-// The store counts a waiting watch as a call, so the watchers must not grow
-// with the fleet; and no VM may be planned to serve more than it takes.
+// The number of watchers must not grow with the fleet, and no VM may be the
+// first choice of more nodes than it accepts.
 func TestWatchersConstantAndFanOutBounded(t *testing.T) {
-	for _, perPlace := range []int{1, 2, 4, 11, 32, 60} {
-		members := vms(4, 2, perPlace)
-		first, watchers := load(members)
+	for _, perDomain := range []int{1, 2, 4, 11, 32, 60} {
+		members := vms(4, 2, perDomain)
+		first, watchers := firstChoices(members)
 		if watchers != 4*WatchersPerRegion {
 			t.Errorf("%d VMs: %d watchers", len(members), watchers)
 		}
@@ -56,17 +56,16 @@
 	}
 }
 
-// A circle of nodes would hear heartbeats with equal digests from each other
-// while no source feeds any of them. Every upstream but those of the watchers
-// must be nearer to the store.
-func TestNoCircleBelowWatchers(t *testing.T) {
+// Nodes in a cycle would exchange equal digests without a source, so every
+// upstream of a non-watcher must be closer to the store.
+func TestNoCycleBelowWatchers(t *testing.T) {
 	members := vms(3, 2, 50)
-	height := map[string]int{}
+	depth := map[string]int{}
 	for _, m := range members {
 		p := Build(members, m)
-		height[m.VM] = p.Level + 1
+		depth[m.VM] = p.Level + 1
 		if p.Role == Watcher {
-			height[m.VM] = 0
+			depth[m.VM] = 0
 		}
 	}
 	for _, m := range members {
@@ -75,33 +74,32 @@
 			continue
 		}
 		for _, up := range p.Upstreams[0] {
-			if height[up.VM] >= height[m.VM] {
-				t.Fatalf("%s at height %d follows %s at %d", m.VM, height[m.VM], up.VM, height[up.VM])
+			if depth[up.VM] >= depth[m.VM] {
+				t.Fatalf("%s at depth %d follows %s at %d", m.VM, depth[m.VM], up.VM, depth[up.VM])
 			}
 		}
 	}
 }
 
-// A rack holds both watchers of a region and the region is cut from the store.
-func TestWatchersInDifferentPlaces(t *testing.T) {
+// The watchers of a region must be in different failure domains.
+func TestWatchersInDifferentFailureDomains(t *testing.T) {
 	members := vms(4, 3, 5)
-	places := map[string]bool{}
+	failureDomains := map[string]bool{}
 	for _, m := range members {
 		if Build(members, m).Role == Watcher {
-			if places[m.FailureDomain] {
+			if failureDomains[m.FailureDomain] {
 				t.Fatalf("two watchers in %s", m.FailureDomain)
 			}
-			places[m.FailureDomain] = true
+			failureDomains[m.FailureDomain] = true
 		}
 	}
 }
 
-// One VM of many ends. Only nodes that followed it, or that move up by one
-// rank, may change their first upstream; a reshuffle would reconnect the fleet
-// twice a day.
-func TestOneVMLessMovesFew(t *testing.T) {
+// Removing one VM may change the first upstream only of its subscribers and of
+// nodes that move up by one rank.
+func TestRemovingVMMovesFewNodes(t *testing.T) {
 	members := vms(6, 3, 30)
-	moved, limit := 0, 2*FanOut+2*subscriptionsOfWatchers
+	moved, limit := 0, 2*FanOut+2*watcherSubscriptions
 	without := members[1:]
 	for _, m := range without {
 		a, b := Build(members, m), Build(without, m)
@@ -114,10 +112,11 @@
 	}
 }
 
-const subscriptionsOfWatchers = 2
+const watcherSubscriptions = 2
 
-// A leaving VM ends soon; nodes that follow it would have to move again.
-func TestLeavingVMGetsNoTask(t *testing.T) {
+// Leaving VMs must not be selected as upstreams, since their subscribers would
+// soon have to move again.
+func TestLeavingVMIsNoUpstream(t *testing.T) {
 	members := vms(2, 2, 4)
 	for i := range members {
 		members[i].Leaving = i%2 == 0
@@ -134,8 +133,8 @@
 }
 
 func BenchmarkBuild(b *testing.B) {
-	for _, perPlace := range []int{3, 31} {
-		members := vms(6, 3, perPlace)
+	for _, perDomain := range []int{3, 31} {
+		members := vms(6, 3, perDomain)
 		b.Run(fmt.Sprintf("nodes=%d", len(members)), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/spread/topology/upstream.go
+++ b/spread/topology/upstream.go
@@ -2,24 +2,25 @@
 
 import "slices"
 
-// mates returns the other watchers of the own region.
-func (f *fleet) mates(self Member) []Member {
+// sameRegionWatchers returns the other watchers of the same region.
+func (f *fleet) sameRegionWatchers(self Member) []Member {
 	return without(f.watchers[self.Region], self.VM)
 }
 
-// neighbours returns watchers of the other regions in the order of a ring.
-// The first watcher of a region goes round one way and the second the other,
-// so that a region which can't be reached does not cut the ring.
-func (f *fleet) neighbours(self Member) []Member {
+// remoteWatchers returns the watchers of the other regions in ring order. The
+// two watchers of a region use opposite directions, so that an unreachable
+// region does not break the ring.
+func (f *fleet) remoteWatchers(self Member) []Member {
 	step := 1
 	if !firstIs(f.watchers[self.Region], self.VM) {
 		step = -1
 	}
-	return f.around(self, step)
+	return f.ringWatchers(self, step)
 }
 
-// around returns the watchers of the other regions, nearest on the ring first.
-func (f *fleet) around(self Member, step int) []Member {
+// ringWatchers returns the watchers of the other regions, nearest on the ring
+// first.
+func (f *fleet) ringWatchers(self Member, step int) []Member {
 	var out []Member
 	n := len(f.regions)
 	at := slices.Index(f.regions, self.Region)
@@ -33,26 +34,26 @@
 	return out
 }
 
-// relayUpstreams returns the watchers, the own region's first. Relays follow
-// nobody else: two relays that followed each other would hear heartbeats and
-// equal digests for ever while no source feeds either.
+// relayUpstreams returns the watchers, those of the same region first. Relays
+// do not subscribe to other relays: two that followed each other would exchange
+// heartbeats with equal digests without any source.
 func (f *fleet) relayUpstreams(self Member) []Member {
 	own := byPreference(self, f.watchers[self.Region])
-	return append(own, f.around(self, 1)...)
+	return append(own, f.ringWatchers(self, 1)...)
 }
 
-// leafUpstreams returns the level above, the relays of the place, one relay of
-// each other place of the region, and the watchers. Each is nearer to the
-// store than self, so no circle can form.
+// leafUpstreams returns nodes of the level above, the relays of the failure
+// domain, one relay of each other failure domain of the region, and the
+// watchers. Each is closer to the store than self, so no cycle can form.
 func (f *fleet) leafUpstreams(self Member, level int) []Member {
 	const fromLevelAbove = 3
 	above := byPreference(self, f.atLevel(self.FailureDomain, level-1))
 	out := above[:min(fromLevelAbove, len(above))]
 	out = appendNew(out, byPreference(self, f.atLevel(self.FailureDomain, 0)))
 	var others []Member
-	for _, place := range f.places[self.Region] {
-		if place != self.FailureDomain {
-			relays := byPreference(self, f.atLevel(place, 0))
+	for _, domain := range f.failureDomains[self.Region] {
+		if domain != self.FailureDomain {
+			relays := byPreference(self, f.atLevel(domain, 0))
 			others = append(others, relays[:1]...)
 		}
 	}
@@ -60,7 +61,8 @@
 	return appendNew(out, f.relayUpstreams(self))
 }
 
-// otherWatchers returns all watchers but self, the own region's first.
+// otherWatchers returns all watchers except self, those of the same region
+// first.
 func (f *fleet) otherWatchers(self Member) []Member {
 	return without(f.relayUpstreams(self), self.VM)
 }
@@ -69,8 +71,8 @@
 	return without(f.members, self.VM)
 }
 
-// byPreference returns a copy in the order self prefers. Each node has its own
-// order, which divides the load among those chosen.
+// byPreference returns a copy in the order preferred by self. The order differs
+// between nodes, which distributes the load.
 func byPreference(self Member, ms []Member) []Member {
 	out := slices.Clone(ms)
 	rank("follow/"+self.VM, out)
@@ -87,7 +89,7 @@
 	return out
 }
 
-// appendNew appends those of more that are not in ms yet.
+// appendNew appends the members of more that ms does not contain.
 func appendNew(ms, more []Member) []Member {
 	for _, m := range more {
 		if !contains(ms, m.VM) {
