--- a/spread/item/doc.go
+++ b/spread/item/doc.go
@@ -1,8 +1,8 @@
-// Package item holds the versioned items of one node: for each key the latest
-// state it has seen, an immutable snapshot for readers, and digests by which
-// two nodes find out cheaply where they differ.
+// Package item holds the versioned items of one node: the latest state of each
+// key, an immutable snapshot for readers, and digests that locate differences
+// between two nodes.
 //
-// The invariant is that no key ever goes back to an older version, whatever
-// order states arrive in. Deletions are states too (tombstones): if a deleted
-// key were just dropped, a relay that lags would bring it back.
+// A key never returns to an older version, in whatever order states arrive.
+// Deletions are states too (tombstones); otherwise an outdated relay could
+// restore a deleted key.
 package item
--- a/spread/item/item.go
+++ b/spread/item/item.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Item is one state of a key. Items are immutable: share Body, never change it.
+// Item is one state of a key. Items are immutable; Body must not be modified.
 type Item struct {
 	Key      string
 	Epoch    uint64
@@ -14,11 +14,11 @@
 	Body     []byte
 	// Deleted marks a tombstone: the key was removed at this version.
 	Deleted bool
-	// Sum is the hash over all the fields above.
+	// Sum is the hash of all fields above.
 	Sum uint64
 }
 
-// New makes an item. A nil body makes a tombstone.
+// New returns an item with its sum. A nil body creates a tombstone.
 func New(key string, epoch, sequence uint64, body []byte) Item {
 	it := Item{Key: key, Epoch: epoch, Sequence: sequence, Body: body, Deleted: body == nil}
 	it.Sum = it.sum()
@@ -26,17 +26,15 @@
 }
 
 // NewerThan reports whether the item replaces old. Versions are ordered by
-// (epoch, sequence).
+// (epoch, sequence), then by sum.
 //
-// Two states may claim one version when a store was restored and written
-// again. Without a third criterion half of the nodes would keep one state and
-// half the other for good, and every comparison would find a difference it
-// can't repair. The hash is the same on every node, so all settle on one.
+// A restored store may assign one version to two states. The sum breaks the tie
+// identically on every node, so that all nodes converge on one state.
 func (it Item) NewerThan(old Item) bool {
 	return VersionNewer(it.Epoch, it.Sequence, it.Sum, old.Epoch, old.Sequence, old.Sum)
 }
 
-// SameVersion reports whether both claim the same (epoch, sequence).
+// SameVersion reports whether both items have the same (epoch, sequence).
 func (it Item) SameVersion(old Item) bool {
 	return it.Epoch == old.Epoch && it.Sequence == old.Sequence
 }
@@ -52,8 +50,8 @@
 	return aSum > bSum
 }
 
-// sum hashes the item. The key's length goes first, so that no two different
-// items feed the hash the same bytes.
+// sum hashes the item. The key length comes first, so that different items
+// never produce the same hash input.
 func (it Item) sum() uint64 {
 	var head [25]byte
 	binary.LittleEndian.PutUint64(head[0:], uint64(len(it.Key)))
--- a/spread/item/snapshot.go
+++ b/spread/item/snapshot.go
@@ -7,18 +7,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of parts into which keys are divided. A comparison
-// that finds a difference exchanges the versions of the parts that differ, so
-// more buckets mean a larger first answer (8 bytes each) and a smaller second.
+// Buckets is the number of partitions of the key space. A comparison exchanges
+// one 8-byte digest per bucket, then the versions of the buckets that differ.
 const Buckets = 64
 
-// bucket is immutable once it is in a snapshot.
+// bucket is immutable once it is part of a snapshot.
 type bucket struct {
 	items  map[string]Item
 	digest uint64
 }
 
-// Snapshot is an immutable view of all items. Its methods take no locks.
+// Snapshot is an immutable, lock-free view of all items.
 type Snapshot struct {
 	buckets [Buckets]*bucket
 	digest  uint64
@@ -39,11 +38,11 @@
 // Len returns the number of keys, tombstones included.
 func (s *Snapshot) Len() int { return s.count }
 
-// Digest is equal on two nodes that hold the same states. It is a sum, so the
-// order in which the states arrived does not matter.
+// Digest returns a digest that is equal on nodes with the same states. It is a
+// sum, so it does not depend on the order of arrival.
 func (s *Snapshot) Digest() uint64 { return s.digest }
 
-// BucketDigest is the digest over one bucket.
+// BucketDigest returns the digest of one bucket.
 func (s *Snapshot) BucketDigest(i int) uint64 { return s.buckets[i].digest }
 
 // Bucket calls fn for each item of one bucket, in no particular order.
--- a/spread/item/table.go
+++ b/spread/item/table.go
@@ -6,25 +6,25 @@
 	"sync/atomic"
 )
 
-// Outcome tells what became of an offered state.
+// Outcome is the result of applying a state.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of applying a state.
 const (
-	// Applied: it is the latest state now.
+	// Applied: the state is now the latest.
 	Applied Outcome = iota
-	// Duplicate: the table has this very state.
+	// Duplicate: the table already has this state.
 	Duplicate
 	// Stale: the table has a later state.
 	Stale
-	// Pending: it is kept aside until the content it names is there.
+	// Pending: the state is held until the content it references arrives.
 	Pending
-	// Unreferenced: it is content that no item names.
+	// Unreferenced: the state is content that no item references.
 	Unreferenced
 )
 
-// Table holds the latest state of each key. It is safe for use by several
-// goroutines; readers of the snapshot never wait.
+// Table holds the latest state of each key. It is safe for concurrent use, and
+// snapshot readers never block.
 type Table struct {
 	mu      sync.Mutex
 	current atomic.Pointer[Snapshot]
@@ -44,8 +44,8 @@
 // Snapshot returns the current immutable view.
 func (t *Table) Snapshot() *Snapshot { return t.current.Load() }
 
-// Apply takes the item if it is later than what the table has. Only the
-// item's bucket is copied.
+// Apply stores the item if it is newer than the current state. It copies only
+// the item's bucket.
 func (t *Table) Apply(it Item) Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,10 +55,8 @@
 	if found && have.Sum == it.Sum && have.SameVersion(it) {
 		return Duplicate
 	}
-	// Relays, repairs and a restored store may all offer a state that is older
-	// than the one in force. It would show as an accepted change that undoes
-	// itself; comparing under the lock makes the highest version win in every
-	// order of arrival.
+	// Relays, repairs and a restored store may deliver older states. Comparing
+	// under the lock makes the highest version win in any order of arrival.
 	if found && !it.NewerThan(have) {
 		return Stale
 	}
@@ -83,8 +81,8 @@
 	return &next
 }
 
-// Remove drops a key without a tombstone. It is for content, which is the same
-// wherever it comes from, so that nothing older can come back in its place.
+// Remove deletes a key without a tombstone. It is only for content, which is
+// immutable, so that no older version can reappear.
 func (t *Table) Remove(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/spread/item/table_test.go
+++ b/spread/item/table_test.go
@@ -7,10 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Relays, repairs and sources deliver the states of a key in any order, and
-// more than once. Whatever the order, no key may go back to an older version,
-// and two nodes that saw the same states must end with the same items.
-func TestAnyOrderOfDelivery(t *testing.T) {
+// No key may return to an older version, and nodes that received the same
+// states in any order must hold the same items.
+func TestDeliveryOrderIndependence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := rapid.Custom(func(t *rapid.T) Item {
 			body := rapid.SampledFrom([][]byte{nil, {}, []byte("a"), []byte("b")}).Draw(t, "body")
@@ -37,11 +36,11 @@
 		for _, it := range rapid.Permutation(states).Draw(t, "permuted") {
 			other.Apply(it)
 		}
-		same(t, one.Snapshot(), other.Snapshot())
+		requireEqual(t, one.Snapshot(), other.Snapshot())
 	})
 }
 
-func same(t *rapid.T, a, b *Snapshot) {
+func requireEqual(t *rapid.T, a, b *Snapshot) {
 	if a.Digest() != b.Digest() || a.Len() != b.Len() {
 		t.Fatalf("digests %x and %x over %d and %d items", a.Digest(), b.Digest(), a.Len(), b.Len())
 	}
@@ -62,8 +61,8 @@
 	}
 }
 
-// A reader holds a snapshot while a change arrives; it must not see it move.
-func TestSnapshotStaysAsItWas(t *testing.T) {
+// A snapshot must not change when the table does.
+func TestSnapshotIsImmutable(t *testing.T) {
 	table := NewTable()
 	table.Apply(New("a", 1, 1, []byte("one")))
 	old := table.Snapshot()
@@ -74,9 +73,8 @@
 	}
 }
 
-// The key is deleted, and a relay that lags brings the state before. Without a
-// tombstone the account would be in force again.
-func TestDeletedStaysDeleted(t *testing.T) {
+// An older state that arrives after a deletion must not restore the key.
+func TestTombstoneBlocksOlderState(t *testing.T) {
 	table := NewTable()
 	table.Apply(New("a", 1, 2, nil))
 	if got := table.Apply(New("a", 1, 1, []byte("old"))); got != Stale {
