--- a/spread/transport/doc.go
+++ b/spread/transport/doc.go
@@ -1,5 +1,5 @@
-// Package transport holds the gRPC settings that all nodes use between each
-// other, and a pool with one connection for each peer. Server and client must
-// agree on the keepalive times: a server closes connections of clients that
-// ping more often than it permits.
+// Package transport provides the gRPC settings for connections between nodes,
+// and a pool with one connection per peer. Client and server keepalive settings
+// must match: a server closes connections of clients that ping more often than
+// it permits.
 package transport
--- a/spread/transport/options.go
+++ b/spread/transport/options.go
@@ -8,17 +8,17 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// Limits of a connection between nodes.
+// Limits of connections between nodes.
 const (
-	// MaxMessageBytes bounds one message. A message holds at most one chunk of
-	// 256 KiB and one item of the largest size, 3 MiB, beyond it.
+	// MaxMessageBytes bounds one message: a chunk of 256 KiB followed by one
+	// item of the maximum size, 3 MiB.
 	MaxMessageBytes = 4 << 20
-	// MaxStreams bounds the calls in progress on one connection.
+	// MaxStreams bounds the concurrent calls on one connection.
 	MaxStreams = 64
 
-	pingAfter    = 10 * time.Second
-	pingTimeout  = 5 * time.Second
-	minPingEvery = 5 * time.Second
+	pingInterval    = 10 * time.Second
+	pingTimeout     = 5 * time.Second
+	minPingInterval = 5 * time.Second
 
 	reconnectBase   = 200 * time.Millisecond
 	reconnectMax    = 5 * time.Second
@@ -26,15 +26,14 @@
 	reconnectGrowth = 1.6
 	connectTimeout  = 3 * time.Second
 
-	// idleAfter closes the connection to a peer that was compared with by
-	// chance. The library's half hour would keep some 60 of them on each node
-	// of a large fleet, each with its memory and its pings.
+	// idleAfter closes idle connections, such as those to random peers. The
+	// library's default of half an hour would keep many of them open on each
+	// node of a large fleet.
 	idleAfter = time.Minute
 
-	// windowBytes is the first flow control window of a stream; the library
-	// raises it for a connection that carries more.
+	// windowBytes is the initial flow control window of a stream.
 	windowBytes = 64 << 10
-	// bufferBytes keeps the memory of a connection that is mostly idle small.
+	// bufferBytes limits the memory of mostly idle connections.
 	bufferBytes = 4 << 10
 )
 
@@ -46,12 +45,12 @@
 		grpc.MaxConcurrentStreams(MaxStreams),
 		grpc.ReadBufferSize(bufferBytes),
 		grpc.WriteBufferSize(bufferBytes),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingEvery}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval}),
 	}
 }
 
-// DialOptions returns the options of connections to other nodes, without
+// DialOptions returns the options for connections to other nodes, without
 // credentials.
 func DialOptions() []grpc.DialOption {
 	return []grpc.DialOption{
@@ -64,13 +63,13 @@
 		grpc.WithInitialWindowSize(windowBytes),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithIdleTimeout(idleAfter),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingInterval, Timeout: pingTimeout}),
 		grpc.WithConnectParams(connectParams()),
 	}
 }
 
-// connectParams jitters reconnects: without it all nodes of a failure domain
-// would dial a relay that returns at the same moments.
+// connectParams jitters reconnects, so that the nodes of a failure domain do
+// not dial a returning relay simultaneously.
 func connectParams() grpc.ConnectParams {
 	return grpc.ConnectParams{
 		Backoff: backoff.Config{
--- a/spread/transport/pool.go
+++ b/spread/transport/pool.go
@@ -7,9 +7,8 @@
 	"google.golang.org/grpc"
 )
 
-// Pool keeps one connection for each address. It is safe for use by several
-// goroutines. A connection that carries no call closes its socket after the
-// library's idle time and connects again when used.
+// Pool keeps one connection per address. It is safe for concurrent use. An idle
+// connection closes its socket and reconnects when used.
 type Pool struct {
 	options []grpc.DialOption
 
@@ -18,8 +17,8 @@
 	closed bool
 }
 
-// NewPool returns a pool that dials with DialOptions and the options given,
-// which must hold the credentials.
+// NewPool returns a pool that dials with DialOptions and the given options,
+// which must include the credentials.
 func NewPool(extra ...grpc.DialOption) *Pool {
 	return &Pool{
 		options: append(DialOptions(), extra...),
@@ -27,8 +26,8 @@
 	}
 }
 
-// Dial returns the connection to an address; it connects when it is first
-// used. It fails for a malformed address and after Close.
+// Dial returns the connection to an address, which connects on first use. It
+// fails for a malformed address and after Close.
 func (p *Pool) Dial(address string) (grpc.ClientConnInterface, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,8 +45,8 @@
 	return conn, nil
 }
 
-// Retain closes the connections to addresses that keep does not accept, such
-// as those of VMs which left the list.
+// Retain closes the connections to addresses for which keep returns false, such
+// as those of VMs that left the list.
 func (p *Pool) Retain(keep func(address string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
