--- a/lookup/answer.go
+++ b/lookup/answer.go
@@ -6,7 +6,7 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// EntryVM is one entry VM of an answer.
+// EntryVM is one entry VM in an Answer.
 type EntryVM struct {
 	ID string `json:"id"`
 	// Address is IP:port.
@@ -15,12 +15,12 @@
 	Region  model.RegionName `json:"region"`
 }
 
-// Answer tells a caller which entry VMs to use, best first. Reuse one Answer
-// over many look-ups to avoid allocation.
+// Answer lists the entry VMs for a caller in order of preference. Reusing an
+// Answer between look-ups avoids allocations.
 type Answer struct {
 	Account      model.AccountName `json:"account"`
 	CallerRegion model.RegionName  `json:"caller_region"`
-	// Revision is the revision of the account that the answer was made from.
+	// Revision is the revision of the account that was used.
 	Revision uint64 `json:"revision"`
 	// LifetimeMS is how long the caller may use the answer, in milliseconds.
 	LifetimeMS int64     `json:"lifetime_ms"`
--- a/lookup/bench_test.go
+++ b/lookup/bench_test.go
@@ -11,7 +11,7 @@
 
 const benchRegions = 6
 
-// fleet returns entry VMs spread over 6 regions with 17 failure domains.
+// fleet returns entry VMs in 6 regions with 17 failure domains.
 func fleet(count int) membership.List {
 	list := vms(count)
 	for i := range list.VMs {
@@ -30,7 +30,7 @@
 	return a
 }
 
-// BenchmarkLookup is one whole look-up with the target's blocks, by nodes.
+// BenchmarkLookup measures a look-up among 330,000 blocks, by number of entry VMs.
 func BenchmarkLookup(b *testing.B) {
 	sample := blocktest.New(330_000, benchRegions, 1)
 	for _, nodes := range []int{10, 50, 150, 300, 550} {
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkSetVMs is one reading of the VM list.
+// BenchmarkSetVMs measures an update of the VM list.
 func BenchmarkSetVMs(b *testing.B) {
 	for _, nodes := range []int{10, 50, 150, 300, 550} {
 		l := New(Options{})
@@ -65,8 +65,8 @@
 	}
 }
 
-// BenchmarkSetAccount is one change of an account that leaves its blocks as
-// they are, as most changes do.
+// BenchmarkSetAccount measures an account update with unchanged blocks, the
+// common case.
 func BenchmarkSetAccount(b *testing.B) {
 	for _, size := range []int{10_000, 50_000, 150_000, 330_000} {
 		sample := blocktest.New(size, benchRegions, 1)
--- a/lookup/blocks/bench_test.go
+++ b/lookup/blocks/bench_test.go
@@ -9,7 +9,6 @@
 	"github.com/yuccaroute/yuccaroute/lookup/blocks/blocktest"
 )
 
-// sizes ends with the target's size.
 var sizes = []int{10_000, 50_000, 150_000, 330_000}
 
 const regions = 6
@@ -31,8 +30,8 @@
 	}
 }
 
-// BenchmarkBuild also reports the memory that the view keeps (B-kept), which
-// is not the garbage that B/op includes.
+// BenchmarkBuild also reports the memory retained by the view (B-kept), without
+// the garbage that B/op includes.
 func BenchmarkBuild(b *testing.B) {
 	for _, size := range sizes {
 		list := blocktest.New(size, regions, 1).Blocks
@@ -50,9 +49,8 @@
 	}
 }
 
-// BenchmarkBuildMany builds the views of accounts with 12,222 blocks each; 27
-// accounts have the target's blocks in sum. Shared accounts declare the same
-// blocks.
+// BenchmarkBuildMany builds the views of several accounts, with the same or with
+// different blocks.
 func BenchmarkBuildMany(b *testing.B) {
 	const each = 12_222
 	for _, shared := range []bool{true, false} {
--- a/lookup/blocks/blocktest/sample.go
+++ b/lookup/blocks/blocktest/sample.go
@@ -1,4 +1,4 @@
-// Package blocktest makes blocks of client addresses for tests and
+// Package blocktest generates blocks of client addresses for tests and
 // benchmarks.
 package blocktest
 
@@ -16,18 +16,18 @@
 	Addresses []netip.Addr
 }
 
-// ipv6Share is the part of the blocks that are IPv6, in percent.
+// ipv6Share is the percentage of IPv6 blocks.
 const ipv6Share = 15
 
-// lengths gives prefix lengths the proportions of a public routing table:
-// most are as long as is routed, few are wide.
+// Prefix lengths are drawn from these lists, which approximate a public routing
+// table: mostly the longest routable prefixes, few wide ones.
 var (
 	lengths4 = []int{24, 24, 24, 24, 24, 24, 23, 22, 22, 21, 20, 19, 18, 16}
 	lengths6 = []int{48, 48, 48, 48, 44, 40, 36, 32, 32, 29}
 )
 
-// New returns count distinct blocks, placed in regions in turn. The same
-// arguments give the same sample.
+// New returns count distinct blocks, assigned to the regions round-robin. The
+// result depends only on the arguments.
 func New(count, regions int, seed uint64) Sample {
 	random := rand.New(rand.NewPCG(seed, 0))
 	seen := make(map[netip.Prefix]bool, count)
@@ -63,7 +63,7 @@
 		bits := random.Uint32()
 		return netip.AddrFrom4([4]byte{byte(1 + bits>>24%223), byte(bits >> 16), byte(bits >> 8), byte(bits)})
 	}
-	// 2000::/16 to 2aff::/16, where addresses are assigned.
+	// 2000::/16 to 2aff::/16, the allocated unicast space.
 	bytes := [16]byte{0: 0x20 + byte(random.IntN(11)), 1: byte(random.IntN(16))}
 	for i := 2; i < len(bytes); i++ {
 		bytes[i] = byte(random.Uint32())
--- a/lookup/blocks/build.go
+++ b/lookup/blocks/build.go
@@ -11,24 +11,24 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// setSum identifies a set of prefixes. A sum that two sets can share would give
-// one account the blocks of another, so it is a cryptographic one.
-type setSum [sha256.Size]byte
+// setDigest identifies a set of prefixes. It is a cryptographic hash, since a
+// collision would give one account the blocks of another.
+type setDigest [sha256.Size]byte
 
-// Build returns the view of one account's blocks. It takes the table of one of
-// the others if that holds the same prefixes. Invalid prefixes are left out; of
-// two entries for the same prefix the later holds.
+// Build returns the view of one account's blocks. It shares the table of one of
+// the others if that has the same prefixes. Invalid prefixes are skipped; of two
+// entries for the same prefix the last one counts.
 func Build(list []model.CallerBlock, others []*View) *View {
 	set := newSet(list)
-	sum := set.sum()
+	digest := set.digest()
 	v := &View{names: set.names, regions: set.regions}
 	for _, other := range others {
-		if other.table.sum == sum {
+		if other.table.digest == digest {
 			v.table = other.table
 			return v
 		}
 	}
-	v.table = set.table(sum)
+	v.table = set.buildTable(digest)
 	return v
 }
 
@@ -62,7 +62,7 @@
 		entries = append(entries, entry{block.Prefix.Masked(), index})
 	}
 	slices.SortStableFunc(entries, compareEntries)
-	s.fill(entries)
+	s.addUnique(entries)
 	return s
 }
 
@@ -73,7 +73,7 @@
 	return cmp.Compare(x.prefix.Bits(), y.prefix.Bits())
 }
 
-func (s *set) fill(entries []entry) {
+func (s *set) addUnique(entries []entry) {
 	s.prefixes = make([]netip.Prefix, 0, len(entries))
 	s.regions = make([]uint16, 0, len(entries))
 	for i := range entries {
@@ -85,34 +85,34 @@
 	}
 }
 
-func (s *set) sum() setSum {
-	digest := sha256.New()
+func (s *set) digest() setDigest {
+	hash := sha256.New()
 	for _, prefix := range s.prefixes {
 		key := keyOf(prefix)
-		_, _ = digest.Write(key[:])
+		_, _ = hash.Write(key[:])
 	}
-	return setSum(digest.Sum(nil))
+	return setDigest(hash.Sum(nil))
 }
 
-func (s *set) table(sum setSum) *Table {
+func (s *set) buildTable(digest setDigest) *Table {
 	hashes := make([]uint32, len(s.prefixes))
-	d := newDivider(s.prefixes)
+	b := newRangeBuilder(s.prefixes)
 	for i, prefix := range s.prefixes {
 		key := keyOf(prefix)
 		hashes[i] = uint32(xxhash.Sum64(key[:]))
-		d.add(prefix, uint32(i))
+		b.add(prefix, uint32(i))
 	}
-	d.finish()
+	b.finish()
 	return &Table{
-		four:   d.four,
-		octets: newOctetIndex(d.four.starts),
-		six:    d.six,
+		ipv4:   b.ipv4,
+		octets: newOctetIndex(b.ipv4.starts),
+		ipv6:   b.ipv6,
 		hashes: hashes,
-		sum:    sum,
+		digest: digest,
 	}
 }
 
-// keyBytes is an address of 16 bytes, its family and the prefix length.
+// keyBytes is the size of a 16-byte address, its family and the prefix length.
 const keyBytes = 18
 
 func keyOf(prefix netip.Prefix) [keyBytes]byte {
--- a/lookup/blocks/ranges.go
+++ b/lookup/blocks/ranges.go
@@ -8,19 +8,19 @@
 	"slices"
 )
 
-// noBlock is the ordinal of a range that is in no block.
+// noBlock is the ordinal of a range outside all blocks.
 const noBlock = math.MaxUint32
 
-// ranges divides the addresses of one family. A range goes from its start up to
-// the next one's; addresses before the first are in no block.
-type ranges[A any] struct {
+// rangeTable maps the addresses of one family to blocks. A range extends from its
+// start to the start of the next one; addresses before the first are in no block.
+type rangeTable[A any] struct {
 	starts []A
 	// ordinals holds the innermost block of each range, or noBlock.
 	ordinals []uint32
 }
 
-// address4 and address6 hold no pointer, unlike netip.Addr: the collector does
-// not look into the table.
+// address4 and address6 contain no pointers, unlike netip.Addr, so the garbage
+// collector does not scan the table.
 type (
 	address4 = uint32
 	address6 struct{ high, low uint64 }
@@ -43,9 +43,9 @@
 	return cmp.Compare(a.low, b.low)
 }
 
-// at returns the ordinal for a search's result: the position of an address
-// among the starts, and whether it is itself one.
-func (r *ranges[A]) at(position int, isStart bool) uint32 {
+// ordinalAt returns the ordinal for the result of a binary search: the position of
+// an address among the starts, and whether it is itself a start.
+func (r *rangeTable[A]) ordinalAt(position int, isStart bool) uint32 {
 	if !isStart {
 		position--
 	}
@@ -55,8 +55,8 @@
 	return r.ordinals[position]
 }
 
-// add begins a range. One that begins where the last one does replaces it.
-func (r *ranges[A]) add(start A, ordinal uint32, compare func(A, A) int) {
+// add appends a range, or replaces the last one if that has the same start.
+func (r *rangeTable[A]) add(start A, ordinal uint32, compare func(A, A) int) {
 	if last := len(r.starts) - 1; last >= 0 && compare(r.starts[last], start) == 0 {
 		r.ordinals[last] = ordinal
 		return
@@ -65,28 +65,28 @@
 	r.ordinals = append(r.ordinals, ordinal)
 }
 
-// reserve makes room for the ranges of a number of blocks. Each begins at most
-// two: its own and the one behind it.
-func (r *ranges[A]) reserve(blocks int) {
+// reserve allocates capacity for a number of blocks. Each block starts at most two
+// ranges: its own and the one after it.
+func (r *rangeTable[A]) reserve(blocks int) {
 	r.starts = make([]A, 0, 2*blocks)
 	r.ordinals = make([]uint32, 0, 2*blocks)
 }
 
-// trim gives back the room that was not needed: blocks that adjoin each other
-// have no range between them.
-func (r *ranges[A]) trim() {
+// trim releases unused capacity, which is left when adjacent blocks have no range
+// between them.
+func (r *rangeTable[A]) trim() {
 	r.starts = slices.Clone(r.starts)
 	r.ordinals = slices.Clone(r.ordinals)
 }
 
-// octets is how many first octets an IPv4 address can have.
+// octets is the number of values of the first octet of an IPv4 address.
 const octets = 256
 
-// octetShift moves the first octet of an address to the lowest place.
+// octetShift shifts the first octet of an address to the low byte.
 const octetShift = 24
 
-// octetIndex shortens the search among IPv4 ranges: it holds for each first octet
-// the position of the first range that starts in it or behind.
+// octetIndex narrows the search among IPv4 ranges: for each first octet it holds
+// the position of the first range that starts at or after it.
 type octetIndex [octets + 1]uint32
 
 func newOctetIndex(starts []address4) *octetIndex {
@@ -99,7 +99,8 @@
 	return &index
 }
 
-// search is slices.BinarySearch of the starts that the index was made from.
+// search works like slices.BinarySearch on the starts that the index was built
+// from.
 func (x *octetIndex) search(starts []address4, address address4) (position int, isStart bool) {
 	octet := address >> octetShift
 	from, to := x[octet], x[octet+1]
@@ -107,73 +108,75 @@
 	return int(from) + position, isStart
 }
 
-// divider turns nested blocks, sorted by address and then the widest first, into
+// rangeBuilder converts nested blocks, sorted by address and then widest first, to
 // ranges that do not overlap.
-type divider struct {
-	four ranges[address4]
-	six  ranges[address6]
-	// open holds the blocks around the present address, the innermost last.
+type rangeBuilder struct {
+	ipv4 rangeTable[address4]
+	ipv6 rangeTable[address6]
+	// open is the stack of blocks that contain the current address, the
+	// innermost last.
 	open []openBlock
 }
 
-// openBlock is a block whose last address is not reached yet.
+// openBlock is a block whose last address has not been passed.
 type openBlock struct {
 	last    netip.Addr
 	ordinal uint32
 }
 
-func newDivider(prefixes []netip.Prefix) *divider {
-	four := 0
+func newRangeBuilder(prefixes []netip.Prefix) *rangeBuilder {
+	ipv4 := 0
 	for _, prefix := range prefixes {
 		if prefix.Addr().Is4() {
-			four++
+			ipv4++
 		}
 	}
-	d := &divider{}
-	d.four.reserve(four)
-	d.six.reserve(len(prefixes) - four)
-	return d
+	b := &rangeBuilder{}
+	b.ipv4.reserve(ipv4)
+	b.ipv6.reserve(len(prefixes) - ipv4)
+	return b
 }
 
-func (d *divider) add(prefix netip.Prefix, ordinal uint32) {
+func (b *rangeBuilder) add(prefix netip.Prefix, ordinal uint32) {
 	first := prefix.Addr()
-	for len(d.open) > 0 && d.open[len(d.open)-1].last.Less(first) {
-		d.closeInnermost()
+	for len(b.open) > 0 && b.open[len(b.open)-1].last.Less(first) {
+		b.closeInnermost()
 	}
-	d.begin(first, ordinal)
-	d.open = append(d.open, openBlock{lastAddress(prefix), ordinal})
+	b.startRange(first, ordinal)
+	b.open = append(b.open, openBlock{lastAddress(prefix), ordinal})
 }
 
-// finish ends all blocks; nothing can be added any more.
-func (d *divider) finish() {
-	for len(d.open) > 0 {
-		d.closeInnermost()
+// finish closes all open blocks. No block may be added afterwards.
+func (b *rangeBuilder) finish() {
+	for len(b.open) > 0 {
+		b.closeInnermost()
 	}
-	d.four.trim()
-	d.six.trim()
+	b.ipv4.trim()
+	b.ipv6.trim()
 }
 
-// closeInnermost ends a block; the one around it goes on behind it.
-func (d *divider) closeInnermost() {
-	inner := len(d.open) - 1
-	next := d.open[inner].last.Next()
-	d.open = d.open[:inner]
+// closeInnermost ends the innermost open block and resumes the enclosing one after
+// it.
+func (b *rangeBuilder) closeInnermost() {
+	inner := len(b.open) - 1
+	next := b.open[inner].last.Next()
+	b.open = b.open[:inner]
 	if !next.IsValid() {
 		return
 	}
 	outer := uint32(noBlock)
 	if inner > 0 {
-		outer = d.open[inner-1].ordinal
+		outer = b.open[inner-1].ordinal
 	}
-	d.begin(next, outer)
+	b.startRange(next, outer)
 }
 
-func (d *divider) begin(start netip.Addr, ordinal uint32) {
+func (b *rangeBuilder) startRange(start netip.Addr, ordinal uint32) {
 	if start.Is4() {
-		d.four.add(newAddress4(start), ordinal, cmp.Compare[address4])
+		b.ipv4.add(newAddress4(start), ordinal, cmp.Compare[address4])
 		return
 	}
-	d.six.add(newAddress6(start), ordinal, compare6)
+	b.ipv6.add(newAddress6(start), ordinal, compare6)
 }
 
 // lastAddress returns the last address of a prefix.
--- a/lookup/blocks/table.go
+++ b/lookup/blocks/table.go
@@ -1,7 +1,7 @@
 // Package blocks maps client addresses to caller regions. A Table holds the
-// prefixes of one set of blocks; accounts that declare the same set share it,
-// and each keeps only the region of every block. Tables and views are
-// immutable once built; a change builds others.
+// prefixes of one set of blocks and is shared by the accounts that declare the
+// same set; a View adds the regions of one account. Tables and views are
+// immutable.
 package blocks
 
 import (
@@ -13,25 +13,25 @@
 
 // Block is the table's entry for one prefix.
 type Block struct {
-	// Ordinal numbers the prefixes of the set from 0.
+	// Ordinal is the index of the prefix in the sorted set.
 	Ordinal uint32
-	// Hash is a stable hash of the prefix, for choices made per block.
+	// Hash is a stable hash of the prefix, for decisions per block.
 	Hash uint32
 }
 
-// Table is an immutable longest-prefix table: the blocks divided into ranges of
-// addresses, found by binary search.
+// Table is an immutable longest-prefix-match table. The blocks are flattened to
+// address ranges, which are found by binary search.
 type Table struct {
-	four   ranges[address4]
+	ipv4   rangeTable[address4]
 	octets *octetIndex
-	six    ranges[address6]
+	ipv6   rangeTable[address6]
 	// hashes is indexed by Block.Ordinal.
 	hashes []uint32
-	// sum identifies the set of prefixes.
-	sum setSum
+	// digest identifies the set of prefixes.
+	digest setDigest
 }
 
-// Find returns the entry of the longest prefix that holds the address.
+// Find returns the entry of the longest prefix that contains the address.
 func (t *Table) Find(addr netip.Addr) (Block, bool) {
 	ordinal := t.ordinal(addr.Unmap())
 	if ordinal == noBlock {
@@ -43,9 +43,9 @@
 func (t *Table) ordinal(addr netip.Addr) uint32 {
 	switch {
 	case addr.Is4():
-		return t.four.at(t.octets.search(t.four.starts, newAddress4(addr)))
+		return t.ipv4.ordinalAt(t.octets.search(t.ipv4.starts, newAddress4(addr)))
 	case addr.Is6():
-		return t.six.at(slices.BinarySearchFunc(t.six.starts, newAddress6(addr), compare6))
+		return t.ipv6.ordinalAt(slices.BinarySearchFunc(t.ipv6.starts, newAddress6(addr), compare6))
 	default:
 		return noBlock
 	}
@@ -54,7 +54,7 @@
 // Size returns the number of prefixes.
 func (t *Table) Size() int { return len(t.hashes) }
 
-// View is one account's regions over a table.
+// View adds the regions of one account to a table.
 type View struct {
 	table *Table
 	names []model.RegionName
@@ -62,10 +62,10 @@
 	regions []uint16
 }
 
-// Table returns the table under the view.
+// Table returns the underlying table.
 func (v *View) Table() *Table { return v.table }
 
-// Find returns the block that holds the address, and its region.
+// Find returns the innermost block that contains the address, and its region.
 func (v *View) Find(addr netip.Addr) (Block, model.RegionName, bool) {
 	block, ok := v.table.Find(addr)
 	if !ok {
@@ -74,8 +74,8 @@
 	return block, v.names[v.regions[block.Ordinal]], true
 }
 
-// Region returns the region of the address; it is false for an address in
-// none of the blocks.
+// Region returns the region of the address. It reports false for an address in
+// no block.
 func (v *View) Region(addr netip.Addr) (model.RegionName, bool) {
 	_, region, ok := v.Find(addr)
 	return region, ok
--- a/lookup/blocks/table_test.go
+++ b/lookup/blocks/table_test.go
@@ -9,15 +9,14 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// Two accounts share a set of blocks but place one of them in different
-// regions. Sharing the region too would send one account's callers away.
-func TestSharedSetKeepsOwnRegions(t *testing.T) {
+// Accounts that share a table must keep their own regions for its blocks.
+func TestSharedTableKeepsOwnRegions(t *testing.T) {
 	block := netip.MustParsePrefix("10.1.0.0/16")
 	other := netip.MustParsePrefix("10.2.0.0/16")
 	first := Build([]model.CallerBlock{{Prefix: block, Region: "north"}, {Prefix: other, Region: "south"}}, nil)
 	second := Build([]model.CallerBlock{{Prefix: other, Region: "south"}, {Prefix: block, Region: "west"}}, []*View{first})
 	if first.Table() != second.Table() {
-		t.Error("the same prefixes are held twice")
+		t.Error("two accounts with the same prefixes do not share a table")
 	}
 	addr := netip.MustParseAddr("10.1.2.3")
 	if region, _ := first.Region(addr); region != "north" {
@@ -32,9 +31,9 @@
 	}
 }
 
-// TestAgainstScan compares the table with a scan over all blocks, for random
-// nested blocks of both families, which reach the last address of each.
-func TestAgainstScan(t *testing.T) {
+// TestTableMatchesLinearScan compares the table with a scan over random nested
+// blocks of both families, up to the last address of each family.
+func TestTableMatchesLinearScan(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var list []model.CallerBlock
 	for range 1200 {
--- a/lookup/entries.go
+++ b/lookup/entries.go
@@ -10,8 +10,8 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// entries is the entry VMs in use, grouped by region and then by place.
-type entries struct {
+// entryIndex holds the usable entry VMs by region and place.
+type entryIndex struct {
 	regions map[model.RegionName]*regionEntries
 	names   []model.RegionName
 }
@@ -20,26 +20,25 @@
 	places []placeEntries
 }
 
-// placeEntries holds the seeds apart from the VMs: a look-up reads every seed
-// of a region but only a few VMs.
+// placeEntries keeps the seeds apart from the VMs, since a look-up reads every
+// seed of a region but only a few VMs.
 type placeEntries struct {
 	name model.PlaceName
-	// seeds[i] is the rendezvous seed of vms[i], a hash of its identifier.
+	// seeds[i] is the hash of the ID of vms[i], for rendezvous hashing.
 	seeds []uint64
 	vms   []EntryVM
 }
 
-// newEntries groups the live entry VMs of a list. A VM that is leaving is
-// left out, as is the VM named by without (this node, when it stops before
-// the list shows it).
-func newEntries(list membership.List, without string) *entries {
-	e := &entries{regions: make(map[model.RegionName]*regionEntries)}
+// newEntryIndex indexes the live entry VMs of a list. It omits the VM with the ID
+// exclude: this node, when it is stopping before the list says so.
+func newEntryIndex(list membership.List, exclude string) *entryIndex {
+	e := &entryIndex{regions: make(map[model.RegionName]*regionEntries)}
 	for i := range list.VMs {
 		vm := &list.VMs[i]
 		if vm.Role != membership.RoleEntry || vm.State != membership.StateLive {
 			continue
 		}
-		if !vm.Address.IsValid() || (without != "" && vm.ID == without) {
+		if !vm.Address.IsValid() || (exclude != "" && vm.ID == exclude) {
 			continue
 		}
 		e.add(vm)
@@ -51,7 +50,7 @@
 	return e
 }
 
-func (e *entries) add(vm *membership.VM) {
+func (e *entryIndex) add(vm *membership.VM) {
 	region := e.regions[vm.Region]
 	if region == nil {
 		region = new(regionEntries)
--- a/lookup/lookup.go
+++ b/lookup/lookup.go
@@ -11,13 +11,13 @@
 	"github.com/yuccaroute/yuccaroute/membership"
 )
 
-// Lookup answers look-ups from a snapshot. All methods may be called from
-// several goroutines at once.
+// Lookup finds entry VMs for callers from an immutable snapshot. All methods are
+// safe for concurrent use.
 type Lookup struct {
 	options Options
 	current atomic.Pointer[snapshot]
 
-	// mutex orders writers; readers never take it.
+	// mutex serializes writers; readers never take it.
 	mutex   sync.Mutex
 	list    membership.List
 	leaving bool
@@ -32,38 +32,38 @@
 	}
 	l.current.Store(&snapshot{
 		accounts: make(map[model.AccountName]*accountView),
-		entries:  newEntries(membership.List{}, ""),
+		entries:  newEntryIndex(membership.List{}, ""),
 	})
 	return l
 }
 
-// SetAccount puts an account in force. An account older than the one in force
-// is ignored, so that a late message never turns a change back. Of an account
-// with CallerSets the Callers are read, but not kept; they are not read where
-// HasBlocks is true.
+// SetAccount adds or replaces an account. A revision older than the current one
+// is ignored, so that a delayed message never reverts a change. The Callers of an
+// account with CallerSets are not retained, and not read if HasBlocks reports
+// true for the sets.
 func (l *Lookup) SetAccount(account *model.Account) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	old := l.current.Load()
-	held := old.accounts[account.Name]
-	if held != nil && held.revision > account.Revision {
+	current := old.accounts[account.Name]
+	if current != nil && current.revision > account.Revision {
 		return
 	}
 	next := *old
 	next.accounts = maps.Clone(old.accounts)
 	next.accounts[account.Name] = &accountView{
 		revision: account.Revision,
-		callers:  callersOf(account),
-		blocks:   old.blocksOf(account),
+		callers:  callerSourceOf(account),
+		blocks:   old.blocksFor(account),
 		order:    newRegionOrder(account),
-		metrics:  l.metricsOf(account.Name),
+		metrics:  l.metricsFor(account.Name),
 	}
 	l.current.Store(&next)
 	l.options.Logger.WithField("account", string(account.Name)).WithField("revision", account.Revision).
-		Debug("lookup: account in force")
+		Debug("lookup: account updated")
 }
 
-// RemoveAccount takes an account out of force.
+// RemoveAccount removes an account.
 func (l *Lookup) RemoveAccount(name model.AccountName) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -77,26 +77,25 @@
 	l.current.Store(&next)
 }
 
-// SetVMs puts a reading of the VM list in force. VMs that it shows as leaving
-// are in no answer.
+// SetVMs replaces the VM list. Answers omit VMs that are listed as leaving.
 func (l *Lookup) SetVMs(list membership.List) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.list = list
-	l.swapEntries()
+	l.updateEntries()
 }
 
-// SetLeaving says whether this node is in a planned stop. While it is, its
-// answers leave the node itself out, before the VM list shows the stop.
+// SetLeaving sets whether this node is in a planned stop. Its answers then omit
+// the node itself, even before the VM list shows the stop.
 func (l *Lookup) SetLeaving(leaving bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.leaving = leaving
-	l.swapEntries()
+	l.updateEntries()
 }
 
-// CallerRegion returns the region in which the account places an address. It
-// is false for an unknown account or an address in none of its blocks.
+// CallerRegion returns the region of an address according to the account's
+// blocks. It reports false for an unknown account or an address in no block.
 func (l *Lookup) CallerRegion(account model.AccountName, addr netip.Addr) (model.RegionName, bool) {
 	s := l.current.Load()
 	view := s.accounts[account]
@@ -106,9 +105,9 @@
 	return view.blocks.Region(addr)
 }
 
-// Lookup fills the answer for a caller, reusing its memory. The code is OK,
-// UnknownAccount, UnknownCallerRegion or NoEntryVM; the answer holds VMs only
-// when it is OK.
+// Lookup fills in the answer for a caller, reusing its memory. The code is OK,
+// UnknownAccount, UnknownCallerRegion or NoEntryVM; the answer contains VMs only
+// if it is OK.
 func (l *Lookup) Lookup(account model.AccountName, addr netip.Addr, answer *Answer) result.Code {
 	s := l.current.Load()
 	answer.Account = account
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// vms returns count entry VMs, in turn in the two places of two regions.
+// vms returns count entry VMs, alternating between two regions of two places.
 func vms(count int) membership.List {
 	var list membership.List
 	for i := range count {
@@ -45,7 +45,7 @@
 	return list
 }
 
-func ready(count int) *Lookup {
+func newTestLookup(count int) *Lookup {
 	l := New(Options{VM: "entry-000", Region: "kr-seoul", Place: "kr-seoul-a"})
 	l.SetAccount(account(1))
 	l.SetVMs(vms(count))
@@ -57,7 +57,7 @@
 }
 
 func TestOwnRegionFirstThenAnotherPlace(t *testing.T) {
-	l := ready(12)
+	l := newTestLookup(12)
 	var answer Answer
 	for i := range 1000 {
 		if code := l.Lookup(testAccount, caller(i), &answer); code != result.OK {
@@ -73,12 +73,10 @@
 	}
 }
 
-// A buyer gets a refused connection although the node it asked knew of the
-// stop: the node begins its planned stop, the VM list does not show it yet,
-// and the node's answers go on naming it. Later the list shows the VM as
-// leaving, and no node's answers may name it.
-func TestLeavingIsInNoAnswer(t *testing.T) {
-	l := ready(12)
+// Answers must omit this node from the start of its planned stop, before the VM
+// list shows it, and every VM that is listed as leaving.
+func TestLeavingVMIsInNoAnswer(t *testing.T) {
+	l := newTestLookup(12)
 	l.SetLeaving(true)
 	list := vms(12)
 	list.VMs[4].State = membership.StateLeaving
@@ -94,11 +92,11 @@
 	}
 }
 
-// Every caller that changes its entry VM opens new connections. When one of
-// many VMs leaves, only its own callers may move.
-func TestOnlyCallersOfALeavingVMMove(t *testing.T) {
+// When a VM leaves, only its own callers may change their entry VM, since each
+// change opens new connections.
+func TestOnlyCallersOfLeavingVMMove(t *testing.T) {
 	const callers = 20_000
-	l := ready(20)
+	l := newTestLookup(20)
 	before := make([]string, callers)
 	load := make(map[string]int)
 	var answer Answer
@@ -124,7 +122,7 @@
 }
 
 func TestOlderAccountIsIgnored(t *testing.T) {
-	l := ready(4)
+	l := newTestLookup(4)
 	l.SetAccount(account(7))
 	late := account(6)
 	late.Callers = nil
@@ -135,17 +133,17 @@
 	}
 }
 
-func TestNoAllocation(t *testing.T) {
-	l := ready(20)
+func TestLookupDoesNotAllocate(t *testing.T) {
+	l := newTestLookup(20)
 	var answer Answer
 	l.Lookup(testAccount, caller(1), &answer)
 	if n := testing.AllocsPerRun(1000, func() { l.Lookup(testAccount, caller(1), &answer) }); n != 0 {
-		t.Errorf("%v allocations a look-up", n)
+		t.Errorf("%v allocations per look-up, want 0", n)
 	}
 }
 
-func TestReadersSeeWholeSnapshots(t *testing.T) {
-	l := ready(8)
+func TestConcurrentLookupsAndUpdates(t *testing.T) {
+	l := newTestLookup(8)
 	var readers sync.WaitGroup
 	done := make(chan struct{})
 	for range 4 {
@@ -159,7 +157,7 @@
 				default:
 				}
 				if code := l.Lookup(testAccount, caller(i), &answer); code != result.OK {
-					t.Errorf("code %v during a swap", code)
+					t.Errorf("code %v during an update", code)
 					return
 				}
 				if answer.Revision < revision {
@@ -206,7 +204,7 @@
 				t.Fatalf("result %s, want %d", got, c.want)
 			}
 			if recorder.Code != result.InfoOf(c.want).HTTP {
-				t.Errorf("status %d", recorder.Code)
+				t.Errorf("status %d, want %d", recorder.Code, result.InfoOf(c.want).HTTP)
 			}
 			if c.want != result.OK {
 				return
--- a/lookup/options.go
+++ b/lookup/options.go
@@ -1,6 +1,6 @@
-// Package lookup answers callers' question which entry VM to use. It reads
-// one immutable snapshot of accounts, client blocks and entry VMs, which
-// writers replace as a whole: a look-up takes no lock and allocates nothing.
+// Package lookup tells callers which entry VMs to use. Look-ups read an immutable
+// snapshot of accounts, client blocks and entry VMs, without locks or allocation;
+// writers replace the snapshot as a whole.
 package lookup
 
 import (
@@ -13,20 +13,19 @@
 	"github.com/yuccaroute/yuccaroute/api/option"
 )
 
-// Path is the HTTP path of the look-up.
+// Path is the HTTP path of the look-up endpoint.
 const Path = "/v1/lookup"
 
-// DefaultLifetime is how long callers may keep an answer when Options names
-// none. It bounds how long a caller that does not fail over goes on choosing
-// an entry VM that is leaving.
+// DefaultLifetime is the default of Options.Lifetime. The lifetime bounds how long
+// a caller that does not fail over keeps using an entry VM that is leaving.
 const DefaultLifetime = 2 * time.Second
 
 // Options are the settings of a Lookup.
 type Options struct {
-	// VM is this node's identifier in the VM list. Without it SetLeaving has no
+	// VM is this node's ID in the VM list. If it is empty, SetLeaving has no
 	// effect on answers.
 	VM string
-	// Region and Place are where this node runs.
+	// Region and Place locate this node.
 	Region model.RegionName
 	Place  model.PlaceName
 	// Lifetime is how long a caller may use an answer; 0 means DefaultLifetime.
--- a/lookup/order.go
+++ b/lookup/order.go
@@ -8,12 +8,12 @@
 	"github.com/yuccaroute/yuccaroute/api/model"
 )
 
-// regionOrder lists, for each caller region, the other regions by one-way
-// delay, nearest first.
+// regionOrder maps each caller region to the other regions, nearest first by
+// one-way delay.
 type regionOrder map[model.RegionName][]model.RegionName
 
-// newRegionOrder reads the delays of an account. A region without a stated
-// delay comes last; equal delays are ordered by name.
+// newRegionOrder sorts the regions of an account by delay, then by name. Regions
+// without a configured delay come last.
 func newRegionOrder(account *model.Account) regionOrder {
 	order := make(regionOrder, len(account.Regions))
 	for i := range account.Regions {
--- a/lookup/rank.go
+++ b/lookup/rank.go
@@ -7,37 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of an answer.
+// Limits of an answer.
 const (
-	// maxPerPlace entry VMs of one place are offered, so that callers have
-	// others to go to when some of them have ended unnoticed.
-	maxPerPlace = 3
-	// maxPerRegion entry VMs of one region are offered.
+	// maxPerPlace is above 1 so that callers have alternatives when a VM has
+	// terminated but is still listed.
+	maxPerPlace  = 3
 	maxPerRegion = 6
-	// maxOtherRegions more regions are offered, with maxPerOther VMs each, for
-	// callers whose region has failed.
+	// maxOtherRegions and maxPerOther bound the VMs of other regions, which
+	// callers use when their own region has failed.
 	maxOtherRegions = 2
 	maxPerOther     = 2
-	// maxPlaces of one region take part; further places are not offered.
+	// maxPlaces bounds the places of a region; further places are ignored.
 	maxPlaces = 16
 )
 
-// choice is a VM with its score for one caller.
-type choice struct {
+// candidate is a VM and its score for one caller.
+type candidate struct {
 	score uint64
 	vm    *EntryVM
 }
 
-// placeChoice is the best VMs of one place, best first.
-type placeChoice struct {
-	best  [maxPerPlace]choice
+// placeCandidates holds the best VMs of one place, best first.
+type placeCandidates struct {
+	best  [maxPerPlace]candidate
 	count int
 }
 
-// score is the rendezvous score of a VM for a caller: a mix in which every
-// bit of both inputs reaches every bit of the result (the finalizer of
-// splitmix64). A caller's order among the VMs that stay does not change when
-// another VM comes or goes, so only the callers of that VM move.
+// score returns the rendezvous hash of a caller and a VM, mixed with the finalizer
+// of splitmix64. When a VM is added or removed, only the callers of that VM move.
 func score(caller, seed uint64) uint64 {
 	x := caller ^ seed
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -45,8 +42,8 @@
 	return x ^ (x >> 31)
 }
 
-// callerHash spreads callers by their whole address: blocks can be wide, and
-// one block's callers may be too many for one entry VM.
+// callerHash hashes the whole address, not the block: a wide block may have too
+// many callers for one entry VM.
 func callerHash(addr netip.Addr) uint64 {
 	bytes := addr.As16()
 	high := binary.LittleEndian.Uint64(bytes[:8])
@@ -57,19 +54,20 @@
 	return xxhash.Sum64(bytes[:])
 }
 
-func (p *placeEntries) choose(caller uint64, into *placeChoice) {
-	into.count = 0
+func (p *placeEntries) topCandidates(caller uint64, top *placeCandidates) {
+	top.count = 0
 	for i, seed := range p.seeds {
 		value := score(caller, seed)
-		if into.count == maxPerPlace && value <= into.best[maxPerPlace-1].score {
+		if top.count == maxPerPlace && value <= top.best[maxPerPlace-1].score {
 			continue
 		}
-		into.offer(choice{value, &p.vms[i]})
+		top.insert(candidate{value, &p.vms[i]})
 	}
 }
 
-// offer enters a choice that is among the highest, best first.
-func (p *placeChoice) offer(c choice) {
+// insert adds a candidate in order of score. If the list is full, the candidate
+// replaces the lowest one and must have a higher score.
+func (p *placeCandidates) insert(c candidate) {
 	at := p.count
 	if at == maxPerPlace {
 		at--
@@ -83,14 +81,14 @@
 	p.best[at] = c
 }
 
-// appendRegion appends up to limit VMs of a region. The first is the best of
-// all, so that load is even over VMs whatever their places; then the places
-// take turns, so that the second try leaves the first one's failure domain.
+// appendRegion appends up to limit VMs of a region, best first but alternating
+// between places: load is balanced over all VMs of the region, and a retry goes
+// to another failure domain.
 func appendRegion(to []EntryVM, region *regionEntries, caller uint64, limit int) []EntryVM {
-	var places [maxPlaces]placeChoice
+	var places [maxPlaces]placeCandidates
 	count := min(len(region.places), maxPlaces)
 	for i := range count {
-		region.places[i].choose(caller, &places[i])
+		region.places[i].topCandidates(caller, &places[i])
 	}
 	sortByBest(places[:count])
 	for turn := range maxPerPlace {
@@ -108,8 +106,8 @@
 	return to
 }
 
-// sortByBest is an insertion sort: regions have few places.
-func sortByBest(places []placeChoice) {
+// sortByBest uses insertion sort, since regions have few places.
+func sortByBest(places []placeCandidates) {
 	for i := 1; i < len(places); i++ {
 		for j := i; j > 0 && places[j].best[0].score > places[j-1].best[0].score; j-- {
 			places[j], places[j-1] = places[j-1], places[j]
--- a/lookup/sites/table.go
+++ b/lookup/sites/table.go
@@ -1,7 +1,6 @@
-// Package sites gives each block of client addresses one site by the shares
-// of a flow. The choice is that of steering/pick.ForBlock, made once for a
-// fixed number of buckets instead of once a look-up: a look-up then costs one
-// array access whatever the number of sites.
+// Package sites maps blocks of client addresses to sites by the shares of a flow.
+// It precomputes steering/pick.ForBlock for a fixed number of buckets, so that a
+// look-up costs one array access whatever the number of sites.
 package sites
 
 import (
@@ -10,18 +9,18 @@
 	"github.com/yuccaroute/yuccaroute/steering/pick"
 )
 
-// Buckets is the number of groups of blocks that share a site. One bucket is
-// 244 ppm of the blocks, the grain of the shares that the table can follow.
+// Buckets is the number of hash buckets of blocks. It sets the granularity of the
+// shares: one bucket is 244 ppm of the blocks.
 const Buckets = 4096
 
-// Table holds the site of every bucket for one flow. It is immutable; every
-// node builds the same table from the same flow.
+// Table holds the site of every bucket for one flow. It is immutable and depends
+// only on the flow, so that all nodes agree.
 type Table struct {
 	names   []model.PlaceName
 	buckets [Buckets]uint16
 }
 
-// New returns the table of a flow. Without any share every site is "".
+// New returns the table of a flow. Without shares, every site is "".
 func New(flow *plan.Flow) *Table {
 	t := &Table{names: []model.PlaceName{""}}
 	if flow == nil {
@@ -44,7 +43,7 @@
 	return t.names[t.buckets[blockHash%Buckets]]
 }
 
-// bucketHash spreads the small bucket numbers over 64 bits.
+// bucketHash spreads the bucket numbers over 64 bits by a multiplicative hash.
 func bucketHash(bucket uint32) uint64 {
 	return (uint64(bucket) + 1) * 0x9e3779b97f4a7c15
 }
--- a/lookup/sites/table_test.go
+++ b/lookup/sites/table_test.go
@@ -11,7 +11,7 @@
 	"github.com/yuccaroute/yuccaroute/lookup/blocks/blocktest"
 )
 
-// flow returns shares that grow with the number of the site.
+// flow returns a flow whose shares grow with the index of the site.
 func flow(count int) *plan.Flow {
 	f := &plan.Flow{Service: "service", Caller: "region-0"}
 	sum := count * (count + 1) / 2
@@ -37,9 +37,9 @@
 	}
 }
 
-// Blocks that change their site find cold caches. When one site loses its
-// share, only its own blocks may move.
-func TestOnlyBlocksOfADroppedSiteMove(t *testing.T) {
+// When a site loses its share, only its own blocks may move, since moved blocks
+// find cold caches.
+func TestOnlyBlocksOfDroppedSiteMove(t *testing.T) {
 	before := flow(160)
 	after := flow(160)
 	dropped := after.Shares[80].Place
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkBlockToSite is the whole way from an address to its site among 160.
+// BenchmarkBlockToSite measures the look-up of an address's site among 160 sites.
 func BenchmarkBlockToSite(b *testing.B) {
 	table := New(flow(160))
 	for _, count := range []int{10_000, 50_000, 150_000, 330_000} {
--- a/lookup/snapshot.go
+++ b/lookup/snapshot.go
@@ -7,23 +7,23 @@
 	"github.com/yuccaroute/yuccaroute/lookup/blocks"
 )
 
-// snapshot is what one look-up reads. It is never changed once published.
+// snapshot is the immutable state that look-ups read.
 type snapshot struct {
 	accounts map[model.AccountName]*accountView
-	entries  *entries
+	entries  *entryIndex
 }
 
-// accountView is one account as look-ups need it. It does not keep the account:
-// its list of blocks is larger than the table made from it.
+// accountView holds what look-ups need of an account. It does not retain the
+// model.Account, whose list of blocks is larger than the table built from it.
 type accountView struct {
 	revision uint64
-	callers  callers
+	callers  callerSource
 	blocks   *blocks.View
 	order    regionOrder
 	metrics  *accountMetrics
 }
 
-// accountMetrics outlives the revisions of its account.
+// accountMetrics is kept across revisions of its account.
 type accountMetrics struct {
 	answered tally.Counter
 	refused  tally.Counter
--- a/lookup/swap.go
+++ b/lookup/swap.go
@@ -8,52 +8,52 @@
 	"github.com/yuccaroute/yuccaroute/lookup/blocks"
 )
 
-// callers tells whether two accounts have the same caller blocks.
-type callers struct {
-	// sets names the blocks that the account does not hold itself.
+// callerSource identifies the caller blocks of an account, to detect accounts
+// with the same blocks.
+type callerSource struct {
+	// sets names the caller sets of the account.
 	sets []content.Name
-	// list is the account's own list; it is nil if sets is not.
+	// list is the account's own list of blocks; it is nil if there are sets.
 	list []model.CallerBlock
 }
 
-func callersOf(account *model.Account) callers {
+func callerSourceOf(account *model.Account) callerSource {
 	if len(account.CallerSets) > 0 {
-		return callers{sets: account.CallerSets}
+		return callerSource{sets: account.CallerSets}
 	}
-	return callers{list: account.Callers}
+	return callerSource{list: account.Callers}
 }
 
-func (c callers) equal(other callers) bool {
+func (c callerSource) equal(other callerSource) bool {
 	return slices.Equal(c.sets, other.sets) && slices.Equal(c.list, other.list)
 }
 
-// HasBlocks reports whether the blocks of these sets are in force for some
-// account, so that SetAccount needs no list of them.
+// HasBlocks reports whether an account already uses the blocks of these sets, so
+// that SetAccount does not need them in Callers.
 func (l *Lookup) HasBlocks(sets []content.Name) bool {
-	return l.current.Load().viewOf(callers{sets: sets}) != nil
+	return l.current.Load().findView(callerSource{sets: sets}) != nil
 }
 
-// viewOf returns the blocks of any account with these callers, or nil.
-func (s *snapshot) viewOf(wanted callers) *blocks.View {
+// findView returns the blocks of any account with this source, or nil.
+func (s *snapshot) findView(source callerSource) *blocks.View {
 	for _, view := range s.accounts {
-		if view.callers.equal(wanted) {
+		if view.callers.equal(source) {
 			return view.blocks
 		}
 	}
 	return nil
 }
 
-// blocksOf returns the blocks of an account: those it has already if they did
-// not change, as with most changes, those of an account with the same sets, or
-// else a new view.
-func (s *snapshot) blocksOf(account *model.Account) *blocks.View {
-	wanted := callersOf(account)
-	held := s.accounts[account.Name]
-	if held != nil && held.callers.equal(wanted) {
-		return held.blocks
+// blocksFor returns the current view of an account if its blocks did not change,
+// else that of an account with the same sets, else a new one.
+func (s *snapshot) blocksFor(account *model.Account) *blocks.View {
+	source := callerSourceOf(account)
+	current := s.accounts[account.Name]
+	if current != nil && current.callers.equal(source) {
+		return current.blocks
 	}
-	if len(wanted.sets) > 0 {
-		if view := s.viewOf(wanted); view != nil {
+	if len(source.sets) > 0 {
+		if view := s.findView(source); view != nil {
 			return view
 		}
 	}
@@ -64,20 +64,20 @@
 	return blocks.Build(account.Callers, others)
 }
 
-// swapEntries publishes the entry VMs of the latest list.
-func (l *Lookup) swapEntries() {
-	without := ""
+// updateEntries publishes a snapshot with the entry VMs of the latest list.
+func (l *Lookup) updateEntries() {
+	exclude := ""
 	if l.leaving {
-		without = l.options.VM
+		exclude = l.options.VM
 	}
 	next := *l.current.Load()
-	next.entries = newEntries(l.list, without)
+	next.entries = newEntryIndex(l.list, exclude)
 	l.current.Store(&next)
 }
 
-// appendEntries appends the VMs of the caller's region, then those of the
-// nearest other regions that have any. A region the account names no delay
-// order for falls back to the names in order.
+// appendEntries appends the VMs of the caller's region, then those of the nearest
+// other regions with VMs. If the account does not define the caller's region,
+// other regions are used in order of name.
 func (s *snapshot) appendEntries(to []EntryVM, view *accountView, region model.RegionName, caller uint64) []EntryVM {
 	if own := s.entries.regions[region]; own != nil {
 		to = appendRegion(to, own, caller, maxPerRegion)
@@ -86,32 +86,32 @@
 	if others == nil {
 		others = s.entries.names
 	}
-	offered := 0
+	appended := 0
 	for _, name := range others {
 		other := s.entries.regions[name]
 		if other == nil || name == region {
 			continue
 		}
 		to = appendRegion(to, other, caller, maxPerOther)
-		offered++
-		if offered == maxOtherRegions {
+		appended++
+		if appended == maxOtherRegions {
 			break
 		}
 	}
 	return to
 }
 
-// metricsOf returns the metrics of an account, made once.
-func (l *Lookup) metricsOf(name model.AccountName) *accountMetrics {
-	if held := l.metrics[name]; held != nil {
-		return held
+// metricsFor returns the metrics of an account and creates them on first use.
+func (l *Lookup) metricsFor(name model.AccountName) *accountMetrics {
+	if metrics := l.metrics[name]; metrics != nil {
+		return metrics
 	}
 	scope := l.options.Scope.Tagged(map[string]string{"account": string(name)})
-	held := &accountMetrics{
+	metrics := &accountMetrics{
 		answered: scope.Counter("lookup_answered"),
 		refused:  scope.Counter("lookup_refused"),
 		duration: scope.Histogram("lookup_duration", durationBuckets),
 	}
-	l.metrics[name] = held
-	return held
+	l.metrics[name] = metrics
+	return metrics
 }
