--- a/store/lease/bench_test.go
+++ b/store/lease/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/yuccaroute/yuccaroute/store/memkv"
 )
 
-// BenchmarkHeld is the cost before each act of a holder.
+// BenchmarkHeld measures the check that a holder makes before each operation.
 func BenchmarkHeld(b *testing.B) {
 	won := make(chan struct{})
 	e, err := lease.New(lease.Options{
--- a/store/lease/campaign.go
+++ b/store/lease/campaign.go
@@ -8,49 +8,48 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// session is one lease at the service, and the record to be written under it.
+// session is a lease granted by the service and the record to write under it.
 type session struct {
 	id     store.LeaseID
-	sent   instant
+	sentAt instant
 	record []byte
 	token  string
 	term   *term
 }
 
-// campaign makes one attempt to take the key: it waits until the key is free,
-// makes a lease and writes the record. ok is false when the key was not taken;
-// the caller tries again.
+// campaign makes one attempt to acquire the key: it waits until the key is
+// free, obtains a lease and writes the record. It returns false when the
+// attempt failed and the caller should retry.
 func (e *Election) campaign(ctx context.Context) (*session, bool) {
-	if !e.awaitFree(ctx) {
+	if !e.waitUntilFree(ctx) {
 		return nil, false
 	}
-	s, err := e.open(ctx)
+	s, err := e.openSession(ctx)
 	if err != nil {
-		e.pause(ctx)
+		e.backOff(ctx)
 		return nil, false
 	}
-	epoch, err := e.take(ctx, s)
+	epoch, err := e.acquire(ctx, s)
 	if err != nil {
 		e.release(ctx, s.id)
-		e.pause(ctx)
+		e.backOff(ctx)
 		return nil, false
 	}
-	s.term = newTerm(epoch, e.watch, e.safeFor(), s.sent)
+	s.term = newTerm(epoch, e.clock, e.validity(), s.sentAt)
 	return s, true
 }
 
-// awaitFree returns true when the key was seen free.
+// waitUntilFree reports whether the key was seen to be free.
 //
-// Guard against a loop without a pause: a record that was written longer ago than
-// the service keeps changes cannot be watched from its own revision, and every
-// candidate that comes reads and watches again at once, hundreds of thousands of
-// times a second. The guard holds because the next watch begins where the service
-// said it is; the key is read after that, so that no removal is missed.
-func (e *Election) awaitFree(ctx context.Context) bool {
+// When the history after the record's revision has been compacted, the watch is
+// reset. The next watch then starts at the service's current revision, since
+// watching from the record's revision again would retry in a tight loop. The
+// key is read again before each watch, so that no deletion is missed.
+func (e *Election) waitUntilFree(ctx context.Context) bool {
 	after := store.Revision(0)
 	for resets := 0; ctx.Err() == nil; resets++ {
 		if resets > 1 {
-			e.pause(ctx)
+			e.backOff(ctx)
 		}
 		callCtx, cancel := context.WithTimeout(ctx, e.callTimeout())
 		entry, err := e.options.KV.Get(callCtx, e.options.Key)
@@ -59,12 +58,12 @@
 			return true
 		}
 		if err != nil {
-			e.pause(ctx)
+			e.backOff(ctx)
 			return false
 		}
-		at, free, err := e.watchFree(ctx, max(after, entry.Revision))
+		at, free, err := e.watchUntilFree(ctx, max(after, entry.Revision))
 		if err != nil {
-			e.pause(ctx)
+			e.backOff(ctx)
 			return false
 		}
 		if free {
@@ -75,9 +74,9 @@
 	return false
 }
 
-// watchFree watches the key until it is removed, or until the service no longer
-// has the changes after a revision: then it returns where the service is.
-func (e *Election) watchFree(ctx context.Context, after store.Revision) (at store.Revision, free bool, err error) {
+// watchUntilFree watches the key until it is deleted or the watch is reset. at
+// is the service's revision at that time.
+func (e *Election) watchUntilFree(ctx context.Context, after store.Revision) (at store.Revision, free bool, err error) {
 	for {
 		batch, err := e.options.KV.Watch(ctx, e.options.Key, after)
 		if err != nil {
@@ -102,36 +101,34 @@
 	return false
 }
 
-func (e *Election) open(ctx context.Context) (*session, error) {
+func (e *Election) openSession(ctx context.Context) (*session, error) {
 	token := newToken()
 	text, err := encodeRecord(record{Token: token, Value: e.options.Value})
 	if err != nil {
 		return nil, err
 	}
-	sent := e.watch.now()
+	sent := e.clock.now()
 	ctx, cancel := context.WithTimeout(ctx, e.callTimeout())
 	defer cancel()
 	id, err := e.options.KV.Grant(ctx, e.options.TTL)
 	if err != nil {
 		return nil, err
 	}
-	return &session{id: id, sent: sent, record: text, token: token}, nil
+	return &session{id: id, sentAt: sent, record: text, token: token}, nil
 }
 
-// errTaken tells that another candidate holds the key.
-var errTaken = errors.New("lease: key taken")
+var errHeldByOther = errors.New("lease: key is held by another candidate")
 
-// take writes the record and returns the revision of that write.
+// acquire writes the record and returns the revision of that write.
 //
-// A lost answer leaves three cases: the write took effect, it never will, or
-// it will later. Reading back tells the first from the others by the token.
-// In the others the write is sent again with the same token and the same
-// expectation, that the key does not exist: whichever of the copies takes
-// effect first, the key holds our token at that copy's revision, and the
-// other copies conflict. A copy that arrives after the lease has ended is
-// refused by the service, as it is bound to that lease.
-func (e *Election) take(ctx context.Context, s *session) (epoch uint64, err error) {
-	for ctx.Err() == nil && e.fresh(s) {
+// When the response is lost, the write may have been applied, may be applied
+// later, or never. The key is read back, and the token tells whether it is this
+// session's write. If the key does not exist or cannot be read, the same write
+// is sent again. Every copy expects the key not to exist, so only the first to
+// arrive is applied. A copy that arrives after the lease ended is refused, since
+// it is bound to that lease.
+func (e *Election) acquire(ctx context.Context, s *session) (epoch uint64, err error) {
+	for ctx.Err() == nil && e.leaseTrusted(s) {
 		revision, err := e.write(ctx, s)
 		if err == nil {
 			return uint64(revision), nil
@@ -140,10 +137,10 @@
 			return 0, err
 		}
 		epoch, err := e.readBack(ctx, s)
-		if err == nil || errors.Is(err, errTaken) {
+		if err == nil || errors.Is(err, errHeldByOther) {
 			return epoch, err
 		}
-		e.pause(ctx)
+		e.backOff(ctx)
 	}
 	return 0, store.ErrUnknown
 }
@@ -154,8 +151,8 @@
 	return e.options.KV.Swap(ctx, e.options.Key, s.record, 0, s.id)
 }
 
-// readBack returns the revision of our write, errTaken when another holds the
-// key, or another error while the outcome is not known.
+// readBack returns the revision of this session's write, errHeldByOther when
+// the key holds another token, or another error while the outcome is unknown.
 func (e *Election) readBack(ctx context.Context, s *session) (epoch uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, e.callTimeout())
 	defer cancel()
@@ -165,12 +162,12 @@
 	}
 	found, err := decodeRecord(entry.Value)
 	if err != nil || found.Token != s.token {
-		return 0, errTaken
+		return 0, errHeldByOther
 	}
 	return uint64(entry.Revision), nil
 }
 
-// fresh reports whether the lease just made may still be trusted.
-func (e *Election) fresh(s *session) bool {
-	return elapsed(s.sent, e.watch.now()) < e.safeFor()
+// leaseTrusted reports whether the session's lease may still be relied on.
+func (e *Election) leaseTrusted(s *session) bool {
+	return elapsed(s.sentAt, e.clock.now()) < e.validity()
 }
--- a/store/lease/clock.go
+++ b/store/lease/clock.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// Clock is the holder's clock. Its times should carry a monotonic reading.
+// Clock is the holder's clock. Its times should include a monotonic reading.
 type Clock interface {
 	Now() time.Time
 }
 
-// systemClock reads the machine's clocks.
 type systemClock struct{}
 
 // Now implements Clock.
@@ -15,13 +14,13 @@
 	return time.Now()
 }
 
-// instant is one moment on both clocks of a machine.
+// instant is a point in time on the monotonic and the wall clock.
 type instant struct {
 	monotonic time.Duration
 	wall      time.Time
 }
 
-// stopwatch reads a Clock as instants.
+// stopwatch converts the readings of a Clock to instants.
 type stopwatch struct {
 	clock Clock
 	start time.Time
@@ -39,10 +38,9 @@
 	}
 }
 
-// elapsed returns the larger of what the two clocks say. The monotonic clock
-// may stand still while a VM is suspended, the wall clock may be set back; a
-// holder that believed the smaller one would trust its lease after the
-// service had let it lapse.
+// elapsed returns the larger of the times passed on the two clocks. The
+// monotonic clock may stop while a VM is suspended and the wall clock may be set
+// back; the smaller value could outlast the lease at the service.
 func elapsed(since, now instant) time.Duration {
 	return max(now.monotonic-since.monotonic, now.wall.Sub(since.wall))
 }
--- a/store/lease/clock_test.go
+++ b/store/lease/clock_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Story: a VM is suspended for a minute and resumed. Its monotonic clock did
-// not count that minute, the wall clock was corrected. Or an operator sets the
-// wall clock back. In both cases the lease has been running all the time.
-func TestElapsedTakesTheClockThatRan(t *testing.T) {
+// A suspended VM stops the monotonic clock and an operator may set the wall
+// clock back; the lease keeps running in both cases.
+func TestElapsedUsesLargerReading(t *testing.T) {
 	wall := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	since := instant{monotonic: time.Hour, wall: wall}
 	suspended := instant{monotonic: time.Hour, wall: wall.Add(time.Minute)}
--- a/store/lease/election.go
+++ b/store/lease/election.go
@@ -1,9 +1,10 @@
 // Package lease elects one holder of a key, bound to a lease of the key-value
-// service. The revision of the write that took the key is the holder's epoch,
-// a fencing token: each later holder has a higher one.
+// service. The revision of the write that acquired the key is the holder's
+// epoch, a fencing token: each later holder has a higher one.
 //
-// Held is a statement of the past. Between Held and the act that follows the
-// holder may be paused for any time, so every receiver must check the epoch.
+// The result of Held may be out of date by the time the holder acts on it, as
+// its process can be paused at any point. Every receiver must therefore check
+// the epoch.
 package lease
 
 import (
@@ -16,10 +17,10 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Election campaigns for one key and holds it.
+// Election campaigns for one key and keeps the lease alive while it holds it.
 type Election struct {
 	options Options
-	watch   stopwatch
+	clock   stopwatch
 	current atomic.Pointer[term]
 
 	running    atomic.Bool
@@ -28,7 +29,7 @@
 	finished   chan struct{}
 }
 
-// New returns an election that is not running yet.
+// New returns an election; Run starts it.
 func New(options Options) (*Election, error) {
 	options = options.withDefaults()
 	if err := options.check(); err != nil {
@@ -36,14 +37,14 @@
 	}
 	return &Election{
 		options:  options,
-		watch:    newStopwatch(options.Clock),
+		clock:    newStopwatch(options.Clock),
 		resigned: make(chan struct{}),
 		finished: make(chan struct{}),
 	}, nil
 }
 
 // Held returns the epoch while the key is held. It takes no lock and makes no
-// call, so it may be asked before each act.
+// call, so it is cheap enough to call before each operation.
 func (e *Election) Held() (epoch uint64, ok bool) {
 	t := e.current.Load()
 	if t == nil || e.isResigned() || !t.valid() {
@@ -61,18 +62,18 @@
 	}
 }
 
-// ErrRunning tells that Run was called twice.
-var ErrRunning = errors.New("lease: already running")
+// ErrRunning is returned by Run when it was called before.
+var ErrRunning = errors.New("lease: Run was called more than once")
 
-// Run campaigns and holds until the context ends or Resign is called; it then
-// gives the key back. Losing the key starts a new campaign. It may be called
-// once.
+// Run campaigns for the key and holds it until the context ends or Resign is
+// called, and then releases it. It campaigns again after losing the key. It may
+// be called once.
 func (e *Election) Run(ctx context.Context) error {
 	if !e.running.CompareAndSwap(false, true) {
 		return ErrRunning
 	}
 	defer close(e.finished)
-	ctx, cancel := e.untilResigned(ctx)
+	ctx, cancel := e.cancelOnResign(ctx)
 	defer cancel()
 	for ctx.Err() == nil {
 		s, ok := e.campaign(ctx)
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// Resign ends the term at once, gives the key back and waits until Run has
-// returned or the context ends. Held is false before the service hears of it.
+// Resign ends the term, releases the key and waits until Run has returned or
+// the context ends. Held reports false before the key is released at the service.
 func (e *Election) Resign(ctx context.Context) error {
 	e.resignOnce.Do(func() { close(e.resigned) })
 	if !e.running.Load() {
@@ -100,7 +101,7 @@
 	}
 }
 
-func (e *Election) untilResigned(ctx context.Context) (context.Context, context.CancelFunc) {
+func (e *Election) cancelOnResign(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
@@ -112,8 +113,8 @@
 	return ctx, cancel
 }
 
-// release ends the lease at the service, so that the key is free at once. If
-// the call fails the lease lapses by itself.
+// release revokes the lease, so that the key is free immediately. If the call
+// fails, the lease expires at the service.
 func (e *Election) release(ctx context.Context, id store.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), e.callTimeout())
 	defer cancel()
--- a/store/lease/election_test.go
+++ b/store/lease/election_test.go
@@ -19,7 +19,7 @@
 	ttl = 9 * time.Second
 )
 
-// candidate is one election with its own connection to a shared service.
+// candidate is an election with its own connection to a shared service.
 type candidate struct {
 	*lease.Election
 	link  *faultkv.Store
@@ -29,7 +29,7 @@
 	done  sync.WaitGroup
 }
 
-// skewedClock runs at a rate other than true time.
+// skewedClock runs at a multiple of the real rate.
 type skewedClock struct {
 	start time.Time
 	rate  float64
@@ -70,7 +70,7 @@
 	return c
 }
 
-func mustHold(t *testing.T, c *candidate) uint64 {
+func requireHeld(t *testing.T, c *candidate) uint64 {
 	t.Helper()
 	epoch, ok := c.Held()
 	if !ok {
@@ -79,26 +79,26 @@
 	return epoch
 }
 
-func mustNotHold(t *testing.T, c *candidate) {
+func requireNotHeld(t *testing.T, c *candidate) {
 	t.Helper()
 	if epoch, ok := c.Held(); ok {
 		t.Fatalf("still holds the key with epoch %d", epoch)
 	}
 }
 
-// settle lets the time pass and all goroutines finish what it set off.
-func settle(d time.Duration) {
+// advance lets time pass and waits until all goroutines are idle.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-func TestIdleHolderCallsAreBounded(t *testing.T) {
+func TestIdleHolderOnlySendsKeepAlives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := start(t, memkv.New(memkv.Options{}), "a", 1)
-		settle(time.Second)
+		advance(time.Second)
 		before := a.link.Counts()
-		settle(time.Minute)
-		mustHold(t, a)
+		advance(time.Minute)
+		requireHeld(t, a)
 		calls := a.link.Counts().Sub(before)
 		if calls.Total() != 20 || calls.Of(faultkv.KindKeepAlive) != 20 {
 			t.Errorf("calls in an idle minute: %v, want 20 keep-alives only", calls)
@@ -106,15 +106,13 @@
 	})
 }
 
-// Story: a node has decided for an account for hours, and thousands of changes were
-// made meanwhile, so that the service no longer has those since the lease was
-// taken. A VM starts and is the next candidate. It asked the service without a
-// pause, as its watch was refused at once, and slowed all other callers of it.
-func TestCandidateOfAnOldLeaseWaits(t *testing.T) {
+// The service no longer has the history since the lease was acquired, so a new
+// candidate's watch is reset at once; it must not retry in a tight loop.
+func TestCandidateDoesNotPollAfterWatchReset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{HistoryEvents: 8})
 		a := start(t, kv, "a", 1)
-		settle(time.Second)
+		advance(time.Second)
 		at := store.Revision(0)
 		for range 20 {
 			var err error
@@ -123,31 +121,30 @@
 			}
 		}
 		b := start(t, kv, "b", 1)
-		settle(time.Minute)
+		advance(time.Minute)
 		if calls := b.link.Counts().Total(); calls > 10 {
 			t.Errorf("the candidate made %d calls in a minute", calls)
 		}
 		a.link.SetOutage(true)
-		settle(2 * ttl)
-		mustHold(t, b)
+		advance(2 * ttl)
+		requireHeld(t, b)
 	})
 }
 
-// Story: two nodes want to decide for one account. The holder is cut off from
-// the service. The service lets the lease lapse and the other node wins. The
-// first must not believe in its lease at any time at which the other does.
-func TestHolderCutOffStopsBeforeNextWins(t *testing.T) {
+// A holder that is cut off from the service must stop relying on its lease
+// before another candidate can acquire the key.
+func TestIsolatedHolderStopsBeforeNextTerm(t *testing.T) {
 	for _, rate := range []float64{0.95, 1, 1.05} {
 		synctest.Test(t, func(t *testing.T) {
 			kv := memkv.New(memkv.Options{})
 			a := start(t, kv, "a", rate)
-			settle(time.Second)
+			advance(time.Second)
 			b := start(t, kv, "b", 1)
-			settle(time.Second)
-			first := mustHold(t, a)
+			advance(time.Second)
+			first := requireHeld(t, a)
 			a.link.SetOutage(true)
-			neverBoth(t, a, b)
-			second := mustHold(t, b)
+			requireNeverBothHold(t, a, b)
+			second := requireHeld(t, b)
 			if second <= first {
 				t.Errorf("epoch went from %d to %d", first, second)
 			}
@@ -158,11 +155,10 @@
 	}
 }
 
-// Story: the service is slow, and answers a grant or a keep-alive 2 s late.
-// Counting the lease from the answer would make the holder trust it 2 s too
-// long: the service counts from when it saw the call.
-func TestLeaseCountsFromBeforeTheCall(t *testing.T) {
-	// A grant is sent at 0 s, the first keep-alive at 3 s.
+// The lease runs from when the service processed the call: counting from a late
+// response would make the holder rely on it for too long.
+func TestLeaseValidityStartsAtRequest(t *testing.T) {
+	// The grant is sent at 0 s, the first keep-alive at 3 s.
 	answered := map[faultkv.Kind]time.Duration{
 		faultkv.KindGrant:     2 * time.Second,
 		faultkv.KindKeepAlive: 5 * time.Second,
@@ -171,30 +167,30 @@
 		t.Run(kind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				kv := memkv.New(memkv.Options{})
-				a := startWith(t, kv, "a", 1, slow(kind, 2*time.Second))
-				settle(at + time.Millisecond)
-				mustHold(t, a)
+				a := startWith(t, kv, "a", 1, delayFirstResponse(kind, 2*time.Second))
+				advance(at + time.Millisecond)
+				requireHeld(t, a)
 				a.link.SetOutage(true)
 				b := start(t, kv, "b", 1)
-				neverBoth(t, a, b)
-				mustHold(t, b)
+				requireNeverBothHold(t, a, b)
+				requireHeld(t, b)
 			})
 		})
 	}
 }
 
-// slow delays the answers to the first call of a kind.
-func slow(kind faultkv.Kind, by time.Duration) faultkv.Chooser {
+// delayFirstResponse delays the response to the first call of a kind.
+func delayFirstResponse(kind faultkv.Kind, by time.Duration) faultkv.Chooser {
 	return faultkv.Script(map[faultkv.Kind][]faultkv.Decision{
 		kind: {{DelayAfter: by}},
 	})
 }
 
-// neverBoth looks at two candidates for twice the lease's time to live.
-func neverBoth(t *testing.T, a, b *candidate) {
+// requireNeverBothHold samples two candidates over twice the lease's TTL.
+func requireNeverBothHold(t *testing.T, a, b *candidate) {
 	t.Helper()
 	for range 200 {
-		settle(ttl / 100)
+		advance(ttl / 100)
 		_, aHolds := a.Held()
 		_, bHolds := b.Held()
 		if aHolds && bHolds {
@@ -203,11 +199,9 @@
 	}
 }
 
-// Story: the write that takes the key is applied but its answer is lost, or
-// arrives only after the caller has read that the key is still free. The
-// candidate must come to know that it holds the key, with that write's
-// revision, and must hold it once.
-func TestLostAnswerOfWinningWrite(t *testing.T) {
+// The write that acquires the key is lost, is applied late or loses its
+// response. The candidate must hold the key once, at that write's revision.
+func TestAcquireWithLostResponse(t *testing.T) {
 	cases := map[string]faultkv.Decision{
 		"applied":      {Fault: faultkv.LoseAnswer},
 		"applied late": {Fault: faultkv.ApplyLate, LateBy: time.Second},
@@ -221,8 +215,8 @@
 				a.link.SetChooser(faultkv.Script(map[faultkv.Kind][]faultkv.Decision{
 					faultkv.KindSwap: {decision},
 				}))
-				settle(ttl)
-				epoch := mustHold(t, a)
+				advance(ttl)
+				epoch := requireHeld(t, a)
 				holder, err := lease.Lookup(t.Context(), kv, key)
 				if err != nil {
 					t.Fatal(err)
@@ -230,22 +224,21 @@
 				if holder.Epoch != epoch || string(holder.Value) != "a" {
 					t.Errorf("service shows %+v, election holds epoch %d", holder, epoch)
 				}
-				settle(time.Minute)
-				if again := mustHold(t, a); again != epoch {
+				advance(time.Minute)
+				if again := requireHeld(t, a); again != epoch {
 					t.Errorf("epoch changed from %d to %d", epoch, again)
 				}
 				if n := a.link.Counts().Of(faultkv.KindGrant); n != 1 {
-					t.Errorf("leases made: %d, want 1", n)
+					t.Errorf("leases granted: %d, want 1", n)
 				}
 			})
 		})
 	}
 }
 
-// Story: a candidate gives up after its write was lost on the way, and another
-// wins and resigns. The first one's write arrives then. It is bound to a lease
-// that was revoked, so it must not take the key for a candidate that is gone.
-func TestLateWriteOfResignedCandidate(t *testing.T) {
+// A write that arrives after its candidate resigned is bound to a revoked lease
+// and must not acquire the key.
+func TestDelayedWriteAfterResign(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
 		a := start(t, kv, "a", 1)
@@ -255,30 +248,30 @@
 			}
 			return faultkv.Decision{}
 		})
-		settle(time.Second)
+		advance(time.Second)
 		if err := a.Resign(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		a.link.WaitLate()
 		if _, err := lease.Lookup(t.Context(), kv, key); err != store.ErrNotFound {
-			t.Errorf("late write took the key: %v", err)
+			t.Errorf("delayed write acquired the key: %v", err)
 		}
 	})
 }
 
-func TestResignFreesTheKeyAtOnce(t *testing.T) {
+func TestResignReleasesKeyImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
 		a := start(t, kv, "a", 1)
-		settle(time.Second)
+		advance(time.Second)
 		b := start(t, kv, "b", 1)
-		settle(time.Second)
-		mustNotHold(t, b)
+		advance(time.Second)
+		requireNotHeld(t, b)
 		if err := a.Resign(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		mustNotHold(t, a)
+		requireNotHeld(t, a)
 		synctest.Wait()
-		mustHold(t, b)
+		requireHeld(t, b)
 	})
 }
--- a/store/lease/hold.go
+++ b/store/lease/hold.go
@@ -35,7 +35,7 @@
 }
 
 func (e *Election) keepAlive(ctx context.Context, s *session) error {
-	sent := e.watch.now()
+	sent := e.clock.now()
 	ctx, cancel := context.WithTimeout(ctx, min(e.callTimeout(), s.term.remaining()))
 	defer cancel()
 	if err := e.options.KV.KeepAlive(ctx, s.id); err != nil {
@@ -47,17 +47,17 @@
 	return nil
 }
 
-// retryShare of the interval passes before a failed keep-alive is sent again.
-const retryShare = 4
+// retryDivisor is the keep-alive interval over the delay before a retry.
+const retryDivisor = 4
 
-// safeFor is how long the holder trusts a lease after sending the call that
-// extended it.
-func (e *Election) safeFor() time.Duration {
+// validity is how long the holder relies on a lease after it sent the call that
+// last extended it.
+func (e *Election) validity() time.Duration {
 	return e.options.TTL - e.options.Margin
 }
 
 func (e *Election) interval() time.Duration {
-	return e.options.TTL / keepAliveShare
+	return e.options.TTL / keepAliveDivisor
 }
 
 func (e *Election) callTimeout() time.Duration {
@@ -65,12 +65,12 @@
 }
 
 func (e *Election) retryInterval() time.Duration {
-	return e.interval() / retryShare
+	return e.interval() / retryDivisor
 }
 
-// pause waits between two attempts, with jitter so that candidates that
-// failed together do not call together.
-func (e *Election) pause(ctx context.Context) {
+// backOff waits between two attempts, with jitter so that candidates that
+// failed together do not retry together.
+func (e *Election) backOff(ctx context.Context) {
 	longest := e.interval()
 	wait.For(ctx, longest/2+rand.N(longest/2+1))
 }
--- a/store/lease/options.go
+++ b/store/lease/options.go
@@ -12,40 +12,39 @@
 // Defaults of Options.
 const (
 	DefaultTTL = 10 * time.Second
-	// marginShare is the part of the TTL that is given up to differences in
-	// clock rate between the holder and the service: 1/10, far above the
-	// few hundred parts per million of a working clock.
-	marginShare = 10
-	// keepAliveShare of the TTL passes between two keep-alives, so that two
-	// may fail before the lease is lost.
-	keepAliveShare = 3
+	// marginDivisor is the TTL over the default margin, which allows for the
+	// difference in clock rate between the holder and the service.
+	marginDivisor = 10
+	// keepAliveDivisor is the TTL over the keep-alive interval, so that two
+	// keep-alives may fail before the lease is lost.
+	keepAliveDivisor = 3
 )
 
-// Options describes an Election.
+// Options configures an Election.
 type Options struct {
-	// KV is the service.
+	// KV is the key-value service.
 	KV store.KV
-	// Key is the key campaigned for. No other code may write it.
+	// Key is the key to campaign for. No other code may write it.
 	Key string
-	// Value is published with the key, for example the holder's address.
+	// Value is stored with the key, for example the holder's address.
 	Value []byte
 	// TTL is the time to live of the lease at the service.
 	TTL time.Duration
-	// Margin is subtracted from TTL when the holder judges its own lease.
-	// 0 means a tenth of TTL.
+	// Margin is subtracted from TTL for the time during which the holder relies
+	// on its lease. 0 means a tenth of TTL.
 	Margin time.Duration
-	// Clock is the holder's clock; nil means the machine's clocks.
+	// Clock is the holder's clock; nil means the system clock.
 	Clock Clock
 	// OnWon and OnLost are called from Run, one after the other, at the
-	// start and the end of each term. They must return soon: keep-alives
-	// wait for them.
+	// start and the end of each term. They must not block, as they delay
+	// keep-alives.
 	OnWon  func(epoch uint64)
 	OnLost func(epoch uint64)
 }
 
 func (o Options) withDefaults() Options {
 	option.Default(&o.TTL, DefaultTTL)
-	option.Default(&o.Margin, o.TTL/marginShare)
+	option.Default(&o.Margin, o.TTL/marginDivisor)
 	if o.Clock == nil {
 		o.Clock = systemClock{}
 	}
@@ -61,11 +60,11 @@
 func (o Options) check() error {
 	switch {
 	case o.KV == nil:
-		return errors.New("lease: no service given")
+		return errors.New("lease: Options.KV is not set")
 	case o.Key == "":
-		return errors.New("lease: no key given")
+		return errors.New("lease: Options.Key is not set")
 	case o.Margin >= o.TTL:
-		return errors.Errorf("lease: margin %s is not below the time to live %s", o.Margin, o.TTL)
+		return errors.Errorf("lease: margin %s is not less than TTL %s", o.Margin, o.TTL)
 	}
 	return nil
 }
--- a/store/lease/paused_test.go
+++ b/store/lease/paused_test.go
@@ -11,8 +11,8 @@
 	"github.com/yuccaroute/yuccaroute/store/memkv"
 )
 
-// stallingKV holds back the answers to keep-alives without regard to the
-// context, which stops the holder's loop as a pause of its process does.
+// stallingKV delays the responses to keep-alives regardless of the context,
+// which blocks the holder's loop as a pause of its process does.
 type stallingKV struct {
 	store.KV
 	stall time.Duration
@@ -24,9 +24,9 @@
 	return err
 }
 
-// holdStalled returns an election that holds the key since 0 s and waits for
-// the answer to its keep-alive of 3 s until 3 s + stall.
-func holdStalled(t *testing.T, kv store.KV, stall time.Duration) *lease.Election {
+// startStalledHolder returns an election that holds the key since 0 s and whose
+// keep-alive, sent at 3 s, is answered at 3 s + stall.
+func startStalledHolder(t *testing.T, kv store.KV, stall time.Duration) *lease.Election {
 	t.Helper()
 	e, err := lease.New(lease.Options{KV: &stallingKV{KV: kv, stall: stall}, Key: key, TTL: ttl})
 	if err != nil {
@@ -42,56 +42,53 @@
 		cancel()
 		<-done
 	})
-	settle(4 * time.Second)
+	advance(4 * time.Second)
 	if _, ok := e.Held(); !ok {
 		t.Fatal("does not hold the key")
 	}
 	return e
 }
 
-// Story: the holder's process is paused for three leases. Another node wins
-// meanwhile. At its first look after the pause, before its loop has run, the
-// first one must find that it holds nothing.
-func TestPausedHolderKnowsAtFirstLook(t *testing.T) {
+// A holder paused for longer than its lease must see that the term ended at its
+// first call to Held, before its loop has run.
+func TestHeldIsFalseAfterProcessPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
-		e := holdStalled(t, kv, 3*ttl)
+		e := startStalledHolder(t, kv, 3*ttl)
 		b := start(t, kv, "b", 1)
-		settle(2 * ttl)
-		mustHold(t, b)
+		advance(2 * ttl)
+		requireHeld(t, b)
 		if epoch, ok := e.Held(); ok {
 			t.Errorf("still holds epoch %d", epoch)
 		}
 	})
 }
 
-// Story: the answer to a keep-alive comes after the holder has seen its lease
-// end. The service still has the lease, so the holder could go on; but its
-// users have acted on the end, and a term that resumes would surprise them.
+// A keep-alive answered after the holder's validity ended must not resume the
+// term, even though the lease still exists at the service.
 func TestTermDoesNotResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := holdStalled(t, memkv.New(memkv.Options{}), 5500*time.Millisecond)
+		e := startStalledHolder(t, memkv.New(memkv.Options{}), 5500*time.Millisecond)
 		first, _ := e.Held()
-		settle(4300 * time.Millisecond)
+		advance(4300 * time.Millisecond)
 		if _, ok := e.Held(); ok {
-			t.Fatal("lease trusted at 8.3 s without an answer since 0 s")
+			t.Fatal("key reported as held at 8.3 s, last extended by a call sent at 0 s")
 		}
-		settle(ttl)
+		advance(ttl)
 		if epoch, ok := e.Held(); ok && epoch == first {
 			t.Errorf("epoch %d resumed", epoch)
 		}
 	})
 }
 
-// Story: a node resigns while its loop waits for the service. It must cease
-// to act at once, not when the service answers.
-func TestResignWhileServiceIsSilent(t *testing.T) {
+// Resign must end the term while a call to the service is still pending.
+func TestResignEndsTermWithoutServiceResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := holdStalled(t, memkv.New(memkv.Options{}), ttl/3)
+		e := startStalledHolder(t, memkv.New(memkv.Options{}), ttl/3)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		if err := e.Resign(ctx); err != context.Canceled {
-			t.Errorf("resign did not wait: %v", err)
+			t.Errorf("Resign returned %v, want context.Canceled", err)
 		}
 		if _, ok := e.Held(); ok {
 			t.Error("still holds the key after Resign")
--- a/store/lease/random_test.go
+++ b/store/lease/random_test.go
@@ -14,65 +14,65 @@
 )
 
 var (
-	seeds     = flag.Uint64("lease.seeds", 40, "how many random stories to run")
-	firstSeed = flag.Uint64("lease.first", 1, "seed of the first random story")
+	seeds     = flag.Uint64("lease.seeds", 40, "number of random simulations to run")
+	firstSeed = flag.Uint64("lease.first", 1, "seed of the first random simulation")
 )
 
 const (
-	candidates = 3
-	steps      = 400
-	maxStep    = 500 * time.Millisecond
-	// maxSkew of a clock rate is below the election's margin.
+	candidateCount = 3
+	steps          = 400
+	maxStep        = 500 * time.Millisecond
+	// maxSkew is the largest deviation of a clock rate, below the election's margin.
 	maxSkew = 0.04
 )
 
-// story is one random run: candidates with clocks of different rates and
-// faulty links to one service.
-type story struct {
-	t      *testing.T
-	source *rand.Rand
-	kv     *memkv.Store
-	all    []*candidate
-	// newest is the highest epoch that anybody held.
-	newest uint64
-	terms  int
-	// ended are epochs that their holder was seen not to hold any more.
+// simulation is a random run of candidates with clocks of different rates and
+// faulty connections to one service.
+type simulation struct {
+	t          *testing.T
+	rng        *rand.Rand
+	kv         *memkv.Store
+	candidates []*candidate
+	// highestEpoch is the highest epoch held so far.
+	highestEpoch uint64
+	terms        int
+	// ended has the epochs whose term was seen to end.
 	ended map[uint64]bool
 	held  map[*candidate]uint64
 }
 
-func (s *story) add() *candidate {
-	rate := 1 + maxSkew*(2*s.source.Float64()-1)
-	return start(s.t, s.kv, fmt.Sprint("candidate ", len(s.all)), rate)
+func (s *simulation) add() *candidate {
+	rate := 1 + maxSkew*(2*s.rng.Float64()-1)
+	return start(s.t, s.kv, fmt.Sprint("candidate ", len(s.candidates)), rate)
 }
 
-// act does one random thing to one candidate.
-func (s *story) act() {
-	i := s.source.IntN(candidates)
-	c := s.all[i]
-	switch s.source.IntN(8) {
+// injectFault changes the connection of one candidate at random or restarts it.
+func (s *simulation) injectFault() {
+	i := s.rng.IntN(candidateCount)
+	c := s.candidates[i]
+	switch s.rng.IntN(8) {
 	case 0:
 		c.link.SetOutage(true)
 	case 1, 2:
 		c.link.SetOutage(false)
 		c.link.SetChooser(nil)
 	case 3:
-		c.link.SetChooser(faultkv.Random(s.source.Uint64(), faultkv.Rates{
+		c.link.SetChooser(faultkv.Random(s.rng.Uint64(), faultkv.Rates{
 			Drop: 0.15, LoseAnswer: 0.3, ApplyLate: 0.3, MaxDelay: 2 * ttl,
 		}))
 	case 4:
-		c.link.SetChooser(faultkv.Random(s.source.Uint64(), faultkv.Rates{MaxDelay: ttl / 2}))
+		c.link.SetChooser(faultkv.Random(s.rng.Uint64(), faultkv.Rates{MaxDelay: ttl / 2}))
 	case 5:
 		c.stop()
-		s.all[i] = s.add()
+		s.candidates[i] = s.add()
 	}
 }
 
-// check fails if two hold the key, or if one holds what the service says is
-// not its own. memkv is asked directly: it is the truth.
-func (s *story) check() {
+// checkInvariants fails if two candidates hold the key, or if a holder differs
+// from the one that memkv has.
+func (s *simulation) checkInvariants() {
 	holders := 0
-	for _, c := range s.all {
+	for _, c := range s.candidates {
 		epoch, ok := c.Held()
 		if was := s.held[c]; was != epoch {
 			s.ended[was] = true
@@ -83,17 +83,17 @@
 		}
 		holders++
 		if s.ended[epoch] {
-			s.t.Fatalf("epoch %d was not held and is held again", epoch)
+			s.t.Fatalf("epoch %d is held again after its term ended", epoch)
 		}
-		truth, err := lease.Lookup(s.t.Context(), s.kv, key)
-		if err != nil || truth.Epoch != epoch {
-			s.t.Fatalf("epoch %d is believed held, the service shows %d (%v)", epoch, truth.Epoch, err)
+		actual, err := lease.Lookup(s.t.Context(), s.kv, key)
+		if err != nil || actual.Epoch != epoch {
+			s.t.Fatalf("a candidate reports epoch %d as held, the service has %d (%v)", epoch, actual.Epoch, err)
 		}
-		if epoch < s.newest {
-			s.t.Fatalf("epoch %d is held after %d", epoch, s.newest)
+		if epoch < s.highestEpoch {
+			s.t.Fatalf("epoch %d is held after %d", epoch, s.highestEpoch)
 		}
-		if epoch > s.newest {
-			s.newest = epoch
+		if epoch > s.highestEpoch {
+			s.highestEpoch = epoch
 			s.terms++
 		}
 	}
@@ -102,43 +102,41 @@
 	}
 }
 
-func runStory(t *testing.T, seed uint64) (terms int) {
+func runSimulation(t *testing.T, seed uint64) (terms int) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &story{
-			t:      t,
-			source: rand.New(rand.NewPCG(seed, seed)),
-			kv:     memkv.New(memkv.Options{}),
-			ended:  map[uint64]bool{},
-			held:   map[*candidate]uint64{},
+		s := &simulation{
+			t:     t,
+			rng:   rand.New(rand.NewPCG(seed, seed)),
+			kv:    memkv.New(memkv.Options{}),
+			ended: map[uint64]bool{},
+			held:  map[*candidate]uint64{},
 		}
-		for range candidates {
-			s.all = append(s.all, s.add())
+		for range candidateCount {
+			s.candidates = append(s.candidates, s.add())
 		}
 		for range steps {
-			s.act()
-			settle(time.Duration(s.source.Int64N(int64(maxStep))))
-			s.check()
+			s.injectFault()
+			advance(time.Duration(s.rng.Int64N(int64(maxStep))))
+			s.checkInvariants()
 		}
 		terms = s.terms
 	})
 	return terms
 }
 
-// Story: three nodes campaign for one account, with clocks that run fast or
-// slow. Their links fail, lose answers, deliver writes long after, and stall
-// for longer than the lease; nodes end and are replaced. At no time may a
-// node hold the key when the service has it for another or for nobody.
-func TestRandomStories(t *testing.T) {
+// Candidates with skewed clocks, failing or slow connections and restarts: at no
+// time may one hold the key while the service has it for another or for none.
+func TestRandomFaults(t *testing.T) {
 	terms := 0
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
-		n := runStory(t, seed)
+		n := runSimulation(t, seed)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
 		}
 		terms += n
 	}
 	if terms < int(*seeds) {
-		t.Errorf("only %d terms in %d stories: the check sees too little", terms, *seeds)
+		t.Errorf("only %d terms in %d simulations: too few to check the invariants", terms, *seeds)
 	}
 	t.Logf("%d terms", terms)
 }
--- a/store/lease/record.go
+++ b/store/lease/record.go
@@ -10,22 +10,22 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// record is what the key holds.
+// record is the stored value of the key.
 type record struct {
-	// Token is random for each lease. The holder knows its own write by it.
+	// Token is random for each lease and identifies the holder's own write.
 	Token string `json:"token"`
 	// Value is Options.Value of the holder.
 	Value []byte `json:"value"`
 }
 
-// Holder is a key's holder as read from the service.
+// Holder is the holder of a key as read from the service.
 type Holder struct {
 	Value []byte
-	// Epoch is the revision of the write that took the key.
+	// Epoch is the revision of the write that acquired the key.
 	Epoch uint64
 }
 
-// Lookup reads who holds the key: store.ErrNotFound when nobody does.
+// Lookup reads the holder of the key. It returns store.ErrNotFound when there is none.
 func Lookup(ctx context.Context, kv store.KV, key string) (Holder, error) {
 	entry, err := kv.Get(ctx, key)
 	if err != nil {
--- a/store/lease/term.go
+++ b/store/lease/term.go
@@ -5,31 +5,30 @@
 	"time"
 )
 
-// term is one time of holding the key.
+// term is one period of holding the key, identified by its epoch.
 type term struct {
 	epoch uint64
-	watch stopwatch
-	// safeFor is how long the holder may trust the lease after it sent the
-	// call that last extended it.
-	safeFor time.Duration
-	// extended is when that call was sent, by the holder's clock. Counting
-	// from the answer instead would add the time the answer took, and the
-	// holder would outlive its lease by as much.
-	extended atomic.Pointer[instant]
-	// ended is set for good when the lease was seen invalid, also by a Held
-	// that runs at the same moment as extend. A term never resumes: whoever
-	// saw it end may have acted on that.
+	clock stopwatch
+	// validity is how long the holder relies on the lease after extendedAt.
+	validity time.Duration
+	// extendedAt is when the call that last extended the lease was sent. The
+	// time of the response would be too late, as the service counts from when it
+	// processed the call.
+	extendedAt atomic.Pointer[instant]
+	// ended is set once the lease was seen to be invalid, also by a Held that
+	// runs concurrently with extend. It is never reset, since a caller may have
+	// acted on the end of the term.
 	ended atomic.Bool
 }
 
-func newTerm(epoch uint64, watch stopwatch, safeFor time.Duration, sent instant) *term {
-	t := &term{epoch: epoch, watch: watch, safeFor: safeFor}
-	t.extended.Store(&sent)
+func newTerm(epoch uint64, clock stopwatch, validity time.Duration, sentAt instant) *term {
+	t := &term{epoch: epoch, clock: clock, validity: validity}
+	t.extendedAt.Store(&sentAt)
 	return t
 }
 
-// valid reads the clock at each call, so that a holder that was paused finds
-// out at its first look after the pause.
+// valid reads the clock at each call, so that a holder whose process was paused
+// sees the end of the term at its first call.
 func (t *term) valid() bool {
 	if t.ended.Load() {
 		return false
@@ -41,15 +40,15 @@
 	return true
 }
 
-// extend reports false when the term had ended before the call was answered.
-func (t *term) extend(sent instant) bool {
+// extend returns false when the term ended before the call was answered.
+func (t *term) extend(sentAt instant) bool {
 	if !t.valid() {
 		return false
 	}
-	t.extended.Store(&sent)
+	t.extendedAt.Store(&sentAt)
 	return t.valid()
 }
 
 func (t *term) remaining() time.Duration {
-	return t.safeFor - elapsed(*t.extended.Load(), t.watch.now())
+	return t.validity - elapsed(*t.extendedAt.Load(), t.clock.now())
 }
