--- a/store/paced/kv.go
+++ b/store/paced/kv.go
@@ -7,11 +7,11 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-func (k *KV) ordinary() call { return call{timeout: k.options.Timeout} }
+func (k *KV) defaultCall() callOptions { return callOptions{timeout: k.options.Timeout} }
 
 // Get implements store.KV.
 func (k *KV) Get(ctx context.Context, key string) (entry store.Entry, err error) {
-	err = k.run(ctx, k.ordinary(), func(ctx context.Context) error {
+	err = k.do(ctx, k.defaultCall(), func(ctx context.Context) error {
 		var err error
 		entry, err = k.inner.Get(ctx, key)
 		return err
@@ -21,7 +21,7 @@
 
 // List implements store.KV.
 func (k *KV) List(ctx context.Context, prefix string) (list store.Listing, err error) {
-	err = k.run(ctx, k.ordinary(), func(ctx context.Context) error {
+	err = k.do(ctx, k.defaultCall(), func(ctx context.Context) error {
 		var err error
 		list, err = k.inner.List(ctx, prefix)
 		return err
@@ -31,7 +31,7 @@
 
 // Swap implements store.KV.
 func (k *KV) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (at store.Revision, err error) {
-	err = k.run(ctx, k.ordinary(), func(ctx context.Context) error {
+	err = k.do(ctx, k.defaultCall(), func(ctx context.Context) error {
 		var err error
 		at, err = k.inner.Swap(ctx, key, value, expected, lease)
 		return err
@@ -41,14 +41,14 @@
 
 // Delete implements store.KV.
 func (k *KV) Delete(ctx context.Context, key string, expected store.Revision) error {
-	return k.run(ctx, k.ordinary(), func(ctx context.Context) error {
+	return k.do(ctx, k.defaultCall(), func(ctx context.Context) error {
 		return k.inner.Delete(ctx, key, expected)
 	})
 }
 
 // Watch implements store.KV.
 func (k *KV) Watch(ctx context.Context, prefix string, after store.Revision) (batch store.Batch, err error) {
-	err = k.run(ctx, call{timeout: k.options.WatchTimeout}, func(ctx context.Context) error {
+	err = k.do(ctx, callOptions{timeout: k.options.WatchTimeout}, func(ctx context.Context) error {
 		var err error
 		batch, err = k.inner.Watch(ctx, prefix, after)
 		return err
@@ -58,7 +58,7 @@
 
 // Grant implements store.KV.
 func (k *KV) Grant(ctx context.Context, ttl time.Duration) (lease store.LeaseID, err error) {
-	err = k.run(ctx, k.ordinary(), func(ctx context.Context) error {
+	err = k.do(ctx, k.defaultCall(), func(ctx context.Context) error {
 		var err error
 		lease, err = k.inner.Grant(ctx, ttl)
 		return err
@@ -68,14 +68,14 @@
 
 // KeepAlive implements store.KV. It does not queue behind other calls.
 func (k *KV) KeepAlive(ctx context.Context, lease store.LeaseID) error {
-	return k.run(ctx, call{timeout: k.options.Timeout, urgent: true}, func(ctx context.Context) error {
+	return k.do(ctx, callOptions{timeout: k.options.Timeout, urgent: true}, func(ctx context.Context) error {
 		return k.inner.KeepAlive(ctx, lease)
 	})
 }
 
 // Revoke implements store.KV.
 func (k *KV) Revoke(ctx context.Context, lease store.LeaseID) error {
-	return k.run(ctx, k.ordinary(), func(ctx context.Context) error {
+	return k.do(ctx, k.defaultCall(), func(ctx context.Context) error {
 		return k.inner.Revoke(ctx, lease)
 	})
 }
--- a/store/paced/options.go
+++ b/store/paced/options.go
@@ -18,19 +18,19 @@
 	DefaultBackoffMax     = 5 * time.Second
 )
 
-// Options tell how fast a client may call the service.
+// Options configures a KV.
 type Options struct {
-	// Timeout bounds one call but a watch, WatchTimeout a watch, both with the wait
-	// for their turn. The latter must be longer than the waiting time of the service,
-	// but not by much: it is also how long a watcher waits on a service that vanished.
+	// Timeout bounds a call other than a watch, WatchTimeout a watch; both include
+	// the wait for a permit. WatchTimeout must be a little longer than the service's
+	// own watch timeout: it is also how long a watcher waits for a dead service.
 	Timeout      time.Duration
 	WatchTimeout time.Duration
-	// CallsPerSecond and Burst bound all calls of this client. The sum over
-	// all clients must stay below the rate of the service.
+	// CallsPerSecond and Burst limit all calls of this client. The sum over all
+	// clients must stay below the rate limit of the service.
 	CallsPerSecond float64
 	Burst          int
-	// After a failure no call is sent for a random time of at most
-	// BackoffFirst, doubled at each further failure up to BackoffMax.
+	// BackoffFirst and BackoffMax bound the random backoff after a failure: at
+	// most BackoffFirst at first, doubled at each further failure up to BackoffMax.
 	BackoffFirst time.Duration
 	BackoffMax   time.Duration
 }
@@ -47,7 +47,7 @@
 
 func (o Options) check() error {
 	if o.BackoffMax < o.BackoffFirst {
-		return errors.Errorf("paced: longest backoff %s is below the first %s", o.BackoffMax, o.BackoffFirst)
+		return errors.Errorf("paced: BackoffMax %s is less than BackoffFirst %s", o.BackoffMax, o.BackoffFirst)
 	}
 	return nil
 }
--- a/store/paced/paced.go
+++ b/store/paced/paced.go
@@ -1,6 +1,6 @@
-// Package paced keeps the calls of one client of the store below its rate and, after
-// failures, at a random distance from each other. A call marked by store.WithFailFast is
-// refused at once where another would wait.
+// Package paced limits the call rate of one store client and backs off with
+// jitter after failures. A call whose context was made by store.WithFailFast is
+// rejected instead of delayed.
 package paced
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// KV implements store.KV by another one. It is safe for use by several goroutines.
+// KV wraps a store.KV. It is safe for concurrent use.
 type KV struct {
 	inner   store.KV
 	options Options
@@ -21,7 +21,7 @@
 
 var _ store.KV = (*KV)(nil)
 
-// New paces the calls to inner.
+// New returns a KV that limits the calls to inner.
 func New(inner store.KV, options Options) (*KV, error) {
 	options = options.withDefaults()
 	if err := options.check(); err != nil {
@@ -30,43 +30,42 @@
 	return &KV{inner: inner, options: options, pacer: newPacer(options)}, nil
 }
 
-// call is one kind of call.
-type call struct {
+type callOptions struct {
 	timeout time.Duration
 	urgent  bool
 }
 
-// run makes one call when it is its turn.
-func (k *KV) run(ctx context.Context, c call, do func(context.Context) error) error {
+// do calls fn once the rate limit and the backoff permit it.
+func (k *KV) do(ctx context.Context, c callOptions, fn func(context.Context) error) error {
 	callCtx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	t, err := k.turn(callCtx, c)
+	granted, err := k.waitOrReject(callCtx, c)
 	if err != nil {
 		return errors.WithMessage(store.ErrUnavailable, err.Error())
 	}
-	err = do(callCtx)
-	k.report(ctx, t.round, err)
-	k.pacer.endProbe(t)
+	err = fn(callCtx)
+	k.recordResult(ctx, granted.round, err)
+	k.pacer.endProbe(granted)
 	return err
 }
 
-// turn returns when the call may be sent, or an error when it must not be.
-func (k *KV) turn(ctx context.Context, c call) (turn, error) {
+// waitOrReject returns a permit for one call, or an error when it must not be sent.
+func (k *KV) waitOrReject(ctx context.Context, c callOptions) (permit, error) {
 	if store.IsFailFast(ctx) {
-		return k.pacer.admit()
+		return k.pacer.tryAcquire()
 	}
-	return k.pacer.wait(ctx, c.urgent)
+	return k.pacer.acquire(ctx, c.urgent)
 }
 
-// report tells the pacer how the call went. A call that its caller gave up, or that
-// was too large to be sent, says nothing about the service.
-func (k *KV) report(ctx context.Context, round uint64, err error) {
+// recordResult updates the backoff. A call that its caller canceled, or whose
+// value was too large to send, says nothing about the service.
+func (k *KV) recordResult(ctx context.Context, round uint64, err error) {
 	failed := errors.Is(err, store.ErrUnknown) || errors.Is(err, store.ErrUnavailable)
 	switch {
 	case errors.Is(err, store.ErrTooLarge):
 	case !failed:
-		k.pacer.succeeded()
+		k.pacer.recordSuccess()
 	case !errors.Is(ctx.Err(), context.Canceled):
-		k.pacer.failed(round)
+		k.pacer.recordFailure(round)
 	}
 }
--- a/store/paced/pacer.go
+++ b/store/paced/pacer.go
@@ -12,61 +12,61 @@
 	"github.com/yuccaroute/yuccaroute/api/wait"
 )
 
-// pacer keeps calls below the client's rate and, after failures, at a random
-// distance from each other. Without the random distance all nodes would call
-// at the same moment when the service returns, and take it down again.
+// pacer limits the call rate and backs off after failures. The backoff has
+// jitter, so that clients do not overload a recovering service by retrying at
+// the same time.
 type pacer struct {
-	limiter *rate.Limiter
-	first   time.Duration
-	longest time.Duration
+	limiter        *rate.Limiter
+	initialBackoff time.Duration
+	maxBackoff     time.Duration
 
 	mu sync.Mutex
-	// resume is when calls may be sent again.
-	resume   time.Time
+	// resumeAt is when the backoff ends.
+	resumeAt time.Time
 	failures int
-	// probing is true while a prompt call finds out whether a service that
-	// failed answers again.
+	// probing is true while a fail-fast call tests whether the service has
+	// recovered.
 	probing bool
-	// round grows with each backoff. Calls that were under way together and
-	// fail together carry the same round and count as one failure.
+	// round is incremented at each backoff. Concurrent calls that fail have the
+	// same round and count as one failure.
 	round uint64
 }
 
 func newPacer(o Options) *pacer {
 	return &pacer{
-		limiter: rate.NewLimiter(rate.Limit(o.CallsPerSecond), o.Burst),
-		first:   o.BackoffFirst,
-		longest: o.BackoffMax,
+		limiter:        rate.NewLimiter(rate.Limit(o.CallsPerSecond), o.Burst),
+		initialBackoff: o.BackoffFirst,
+		maxBackoff:     o.BackoffMax,
 	}
 }
 
-// turn permits one call.
-type turn struct {
-	// round is what a failure of the call is reported under.
+// permit allows one call.
+type permit struct {
+	// round is passed to recordFailure if the call fails.
 	round uint64
-	// probe tells that the call finds out whether the service is back; others
-	// wait for its end.
+	// probe marks a call that tests whether the service has recovered; other
+	// fail-fast calls are rejected until it ends.
 	probe bool
 }
 
-// wait returns when a call may be sent, or an error when the context ends
-// first.
-func (p *pacer) wait(ctx context.Context, urgent bool) (turn, error) {
+// acquire waits until a call may be sent. It returns an error when the context
+// ends first.
+func (p *pacer) acquire(ctx context.Context, urgent bool) (permit, error) {
 	for {
-		round, pause := p.pause()
+		round, pause := p.backoff()
 		if pause <= 0 {
-			return turn{round: round}, p.takeTurn(ctx, urgent)
+			return permit{round: round}, p.waitForRate(ctx, urgent)
 		}
 		if !wait.For(ctx, pause) {
-			return turn{}, ctx.Err()
+			return permit{}, ctx.Err()
 		}
 	}
 }
 
-// takeTurn keeps the rate. An urgent call goes at once and is charged to those
-// that wait: behind many of them, at a change of many accounts say, the
-// keep-alive of a lease would come too late and a healthy holder would lose it.
-func (p *pacer) takeTurn(ctx context.Context, urgent bool) error {
+// waitForRate applies the rate limit. An urgent call does not wait but uses up
+// a token: queued behind many other calls, the keep-alive of a lease would come
+// too late and a healthy holder would lose it.
+func (p *pacer) waitForRate(ctx context.Context, urgent bool) error {
 	if !urgent {
 		return p.limiter.Wait(ctx)
 	}
@@ -74,27 +74,26 @@
 	return ctx.Err()
 }
 
-// errHeldBack tells why a prompt call was not sent.
-var errHeldBack = errors.New("paced: the service failed lately or the rate is used up")
+var errRejected = errors.New("paced: call rejected: backing off after a failure or rate limit reached")
 
-// admit returns at once: with a turn for a call that may be sent now, or with
-// an error. While the service is failing it lets one call at a time
-// through: if it hangs, requests must not all wait for their timeout behind it.
-func (p *pacer) admit() (turn, error) {
+// tryAcquire returns a permit or an error without waiting. After a failure it
+// permits one call at a time until one succeeds, so that calls to an unresponsive
+// service do not all wait for their timeout.
+func (p *pacer) tryAcquire() (permit, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if time.Until(p.resume) > 0 || p.probing || !p.limiter.Allow() {
-		return turn{}, errHeldBack
+	if time.Until(p.resumeAt) > 0 || p.probing || !p.limiter.Allow() {
+		return permit{}, errRejected
 	}
 	p.probing = p.failures > 0
-	return turn{round: p.round, probe: p.probing}, nil
+	return permit{round: p.round, probe: p.probing}, nil
 }
 
-// endProbe lets the next prompt call through, however the probe ended. A call
-// that was sent before the service failed is no probe: its end says nothing of
-// the probe that another one is making.
-func (p *pacer) endProbe(t turn) {
-	if !t.probe {
+// endProbe allows the next fail-fast call, whatever the result of the probe. It
+// ignores calls that are not probes: they may end while another call's probe is
+// still running.
+func (p *pacer) endProbe(ended permit) {
+	if !ended.probe {
 		return
 	}
 	p.mu.Lock()
@@ -102,20 +101,20 @@
 	p.probing = false
 }
 
-func (p *pacer) pause() (round uint64, pause time.Duration) {
+func (p *pacer) backoff() (round uint64, pause time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.round, time.Until(p.resume)
+	return p.round, time.Until(p.resumeAt)
 }
 
-func (p *pacer) succeeded() {
+func (p *pacer) recordSuccess() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures = 0
-	p.resume = time.Time{}
+	p.resumeAt = time.Time{}
 }
 
-func (p *pacer) failed(round uint64) {
+func (p *pacer) recordFailure(round uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if round != p.round {
@@ -123,14 +122,14 @@
 	}
 	p.round++
 	p.failures++
-	p.resume = time.Now().Add(rand.N(p.bound()) + 1)
+	p.resumeAt = time.Now().Add(rand.N(p.maxPause()) + 1)
 }
 
-// bound returns the longest pause after the failures so far.
-func (p *pacer) bound() time.Duration {
-	bound := p.first
-	for i := 1; i < p.failures && bound < p.longest; i++ {
-		bound *= 2
+// maxPause returns the longest backoff after the failures so far.
+func (p *pacer) maxPause() time.Duration {
+	pause := p.initialBackoff
+	for i := 1; i < p.failures && pause < p.maxBackoff; i++ {
+		pause *= 2
 	}
-	return min(bound, p.longest)
+	return min(pause, p.maxBackoff)
 }
--- a/store/paced/pacer_test.go
+++ b/store/paced/pacer_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// arrivals counts calls by the 100 ms in which they reach the service.
+// arrivals counts the calls that reach the service in each slot of 100 ms.
 type arrivals struct {
 	mu      sync.Mutex
 	started time.Time
@@ -27,8 +27,8 @@
 	a.slots[time.Since(a.started)/slot]++
 }
 
-// most returns the most calls in one slot between two times.
-func (a *arrivals) most(from, to time.Duration) int {
+// maxPerSlot returns the highest count of a slot between two times.
+func (a *arrivals) maxPerSlot(from, to time.Duration) int {
 	most := 0
 	for i := from / slot; i < to/slot; i++ {
 		most = max(most, a.slots[i])
@@ -44,18 +44,16 @@
 	return total
 }
 
-// Story: the service is out for a minute and 60 nodes, each with five callers
-// that never give up, want it back. If all of them called at the same moment,
-// the service would fall over as soon as it returns.
-func TestNodesReturnApart(t *testing.T) {
+// Clients that retry throughout an outage must not all call at the same time when
+// the service returns, which would overload it again.
+func TestClientsSpreadRetriesAfterOutage(t *testing.T) {
 	const (
-		nodes   = 60
-		callers = 5
-		back    = time.Minute
-		end     = 90 * time.Second
-		// apart is reached when a fifth of the nodes return in one slot; at
-		// random over 5 s it is one in fifty.
-		apart = nodes * callers / 5
+		nodes     = 60
+		callers   = 5
+		outageEnd = time.Minute
+		end       = 90 * time.Second
+		// maxCalls allows a fifth of the callers in one slot.
+		maxCalls = nodes * callers / 5
 	)
 	synctest.Test(t, func(t *testing.T) {
 		seen := newArrivals()
@@ -65,38 +63,38 @@
 		for range nodes {
 			p := newPacer(Options{}.withDefaults())
 			for range callers {
-				all.Go(func() { callUntilServed(ctx, p, seen, back) })
+				all.Go(func() { callUntilServed(ctx, p, seen, outageEnd) })
 			}
 		}
 		all.Wait()
-		out := seen.total(20*time.Second, back)
+		out := seen.total(20*time.Second, outageEnd)
 		if limit := nodes * 40; out > limit {
 			t.Errorf("%d calls in 40 s of outage, want at most %d", out, limit)
 		}
-		if most := seen.most(20*time.Second, end); most > apart {
-			t.Errorf("%d calls in 100 ms, want at most %d", most, apart)
+		if most := seen.maxPerSlot(20*time.Second, end); most > maxCalls {
+			t.Errorf("%d calls in 100 ms, want at most %d", most, maxCalls)
 		}
-		if served := seen.total(back, end); served != nodes*callers {
+		if served := seen.total(outageEnd, end); served != nodes*callers {
 			t.Errorf("%d calls served after the outage, want %d", served, nodes*callers)
 		}
 		t.Logf("outage: %d calls in 40 s; most in 100 ms: outage %d, after %d",
-			out, seen.most(20*time.Second, back), seen.most(back, end))
+			out, seen.maxPerSlot(20*time.Second, outageEnd), seen.maxPerSlot(outageEnd, end))
 	})
 }
 
-// callUntilServed calls until the service is back at the time given.
-func callUntilServed(ctx context.Context, p *pacer, seen *arrivals, back time.Duration) {
+// callUntilServed retries until a call succeeds; calls fail until outageEnd.
+func callUntilServed(ctx context.Context, p *pacer, seen *arrivals, outageEnd time.Duration) {
 	for {
-		turn, err := p.wait(ctx, false)
+		permit, err := p.acquire(ctx, false)
 		if err != nil {
 			return
 		}
 		seen.add()
-		if time.Since(seen.started) >= back {
-			p.succeeded()
+		if time.Since(seen.started) >= outageEnd {
+			p.recordSuccess()
 			return
 		}
-		p.failed(turn.round)
+		p.recordFailure(permit.round)
 	}
 }
 
@@ -107,7 +105,7 @@
 		defer cancel()
 		calls := 0
 		for calls < 1000 {
-			if _, err := p.wait(ctx, false); err != nil {
+			if _, err := p.acquire(ctx, false); err != nil {
 				break
 			}
 			calls++
@@ -118,36 +116,35 @@
 	})
 }
 
-// Calls under way together meet the same fault. Counting each of them would
-// make one short fault as costly as a long outage.
-func TestCallsFailingTogetherCountOnce(t *testing.T) {
+// Concurrent calls that meet the same fault must count as one failure, or a short
+// fault would cause the backoff of a long outage.
+func TestConcurrentFailuresCountOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPacer(Options{}.withDefaults())
-		turn, err := p.wait(t.Context(), false)
+		permit, err := p.acquire(t.Context(), false)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range 10 {
-			p.failed(turn.round)
+			p.recordFailure(permit.round)
 		}
-		if got := p.bound(); got != DefaultBackoffFirst {
+		if got := p.maxPause(); got != DefaultBackoffFirst {
 			t.Errorf("next pause is up to %s, want %s", got, DefaultBackoffFirst)
 		}
 	})
 }
 
-// Story: an operator changes many accounts at once through a node that holds
-// a lease. Its keep-alive waits behind all these writes, and the node loses
-// the lease although node and service are well.
-func TestKeepAliveDoesNotQueue(t *testing.T) {
+// A keep-alive queued behind many other calls would cost a healthy holder its
+// lease.
+func TestUrgentCallDoesNotQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPacer(Options{CallsPerSecond: 10, Burst: 1}.withDefaults())
 		for range 200 {
-			go func() { _, _ = p.wait(t.Context(), false) }()
+			go func() { _, _ = p.acquire(t.Context(), false) }()
 		}
 		synctest.Wait()
 		began := time.Now()
-		if _, err := p.wait(t.Context(), true); err != nil {
+		if _, err := p.acquire(t.Context(), true); err != nil {
 			t.Fatal(err)
 		}
 		if waited := time.Since(began); waited != 0 {
@@ -157,9 +154,9 @@
 		synctest.Wait()
 		began = time.Now()
 		for range 10 {
-			_, _ = p.wait(t.Context(), true)
+			_, _ = p.acquire(t.Context(), true)
 		}
-		_, _ = p.wait(t.Context(), false)
+		_, _ = p.acquire(t.Context(), false)
 		if waited := time.Since(began); waited < 900*time.Millisecond {
 			t.Errorf("ten urgent calls cost the next one %s of waiting, want 1s", waited)
 		}
