--- a/store/memkv/history.go
+++ b/store/memkv/history.go
@@ -6,15 +6,15 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// history keeps the latest changes in the order of their revisions.
+// history keeps the latest changes for watches, in revision order.
 type history struct {
 	maxEvents int
 	maxBytes  int
 	events    []store.Event
 	bytes     int
-	// forgotten is the revision of the newest change dropped. A watch from
-	// an older revision must be told to list again: it would miss changes.
-	forgotten store.Revision
+	// compactedAt is the revision of the newest change dropped. A watch from an
+	// older revision must be reset, as it would miss changes.
+	compactedAt store.Revision
 }
 
 func (h *history) add(ev store.Event) {
@@ -30,13 +30,13 @@
 	h.events[0] = store.Event{}
 	h.events = h.events[1:]
 	h.bytes -= size(oldest)
-	h.forgotten = oldest.Entry.Revision
+	h.compactedAt = oldest.Entry.Revision
 }
 
-// since returns the changes under prefix after the revision given; ok is
-// false when some of them may be forgotten.
+// since returns the changes under prefix after the given revision; ok is false
+// when some of them may have been dropped.
 func (h *history) since(prefix string, after store.Revision) (events []store.Event, ok bool) {
-	if after < h.forgotten {
+	if after < h.compactedAt {
 		return nil, false
 	}
 	for i := len(h.events) - 1; i >= 0; i-- {
@@ -62,9 +62,9 @@
 	return len(ev.Entry.Key) + len(ev.Entry.Value)
 }
 
-// clear forgets all changes up to the revision given.
-func (h *history) clear(at store.Revision) {
+// reset drops all changes and sets the compaction revision.
+func (h *history) reset(at store.Revision) {
 	h.events = nil
 	h.bytes = 0
-	h.forgotten = at
+	h.compactedAt = at
 }
--- a/store/memkv/lease.go
+++ b/store/memkv/lease.go
@@ -8,7 +8,7 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// lease is one lease and the keys bound to it.
+// lease is a lease with the keys bound to it.
 type lease struct {
 	ttl      time.Duration
 	deadline time.Time
@@ -16,11 +16,11 @@
 	keys     map[string]struct{}
 }
 
-func (l *lease) lapsed(now time.Time) bool {
+func (l *lease) expired(now time.Time) bool {
 	return !now.Before(l.deadline)
 }
 
-// Grant makes a lease of the time given.
+// Grant implements store.KV.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	if ctx.Err() != nil {
 		return 0, store.ErrUnavailable
@@ -32,13 +32,13 @@
 	s.leases[id] = &lease{
 		ttl:      ttl,
 		deadline: time.Now().Add(ttl),
-		timer:    time.AfterFunc(ttl, func() { s.lapse(id) }),
+		timer:    time.AfterFunc(ttl, func() { s.onLeaseTimer(id) }),
 		keys:     map[string]struct{}{},
 	}
 	return id, nil
 }
 
-// KeepAlive extends the lease by its full time.
+// KeepAlive implements store.KV.
 func (s *Store) KeepAlive(ctx context.Context, id store.LeaseID) error {
 	if ctx.Err() != nil {
 		return store.ErrUnavailable
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Revoke ends the lease and removes its keys.
+// Revoke implements store.KV.
 func (s *Store) Revoke(ctx context.Context, id store.LeaseID) error {
 	if ctx.Err() != nil {
 		return store.ErrUnavailable
@@ -64,33 +64,33 @@
 	if s.liveLease(id) == nil {
 		return store.ErrLeaseGone
 	}
-	s.end(id)
+	s.endLease(id)
 	return nil
 }
 
-// liveLease returns nil when the lease lapsed. The timer may run later than
-// the deadline, so the deadline decides and the keys go before the answer.
+// liveLease returns nil when the lease has expired. The timer may fire after the
+// deadline, so the deadline is checked and an expired lease is ended here.
 func (s *Store) liveLease(id store.LeaseID) *lease {
 	l := s.leases[id]
 	if l == nil {
 		return nil
 	}
-	if l.lapsed(time.Now()) {
-		s.end(id)
+	if l.expired(time.Now()) {
+		s.endLease(id)
 		return nil
 	}
 	return l
 }
 
-// lapse runs on the lease's timer. A KeepAlive may have moved the deadline
-// while the timer's function was waiting for the lock; the lease then lives.
-func (s *Store) lapse(id store.LeaseID) {
+// onLeaseTimer ends the lease unless a KeepAlive moved its deadline while this
+// function waited for the lock.
+func (s *Store) onLeaseTimer(id store.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.liveLease(id)
 }
 
-func (s *Store) end(id store.LeaseID) {
+func (s *Store) endLease(id store.LeaseID) {
 	l := s.leases[id]
 	delete(s.leases, id)
 	l.timer.Stop()
--- a/store/memkv/options.go
+++ b/store/memkv/options.go
@@ -13,12 +13,12 @@
 	DefaultHistoryBytes  = 16 << 20
 )
 
-// Options bounds a store.
+// Options configures a Store.
 type Options struct {
-	// WatchWait is how long a watch waits for a change before it returns an
-	// empty batch.
+	// WatchWait is how long a watch waits for a change before it returns an empty
+	// batch.
 	WatchWait time.Duration
-	// HistoryEvents and HistoryBytes bound the changes kept for watches.
+	// HistoryEvents and HistoryBytes limit the changes kept for watches.
 	HistoryEvents int
 	HistoryBytes  int
 }
--- a/store/memkv/snapshot.go
+++ b/store/memkv/snapshot.go
@@ -6,13 +6,13 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Snapshot is a copy of all keys at one revision, as a backup has it.
+// Snapshot is a copy of all keys without a lease at one revision, like a backup.
 type Snapshot struct {
 	revision store.Revision
 	entries  map[string]store.Entry
 }
 
-// Snapshot copies the keys that hang on no lease.
+// Snapshot copies the keys that are not bound to a lease.
 func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,8 +23,8 @@
 	return Snapshot{revision: s.revision, entries: entries}
 }
 
-// Restore puts the store back to a snapshot: revisions go back, leases end and
-// the changes kept for watches are forgotten. Waiting watches end.
+// Restore resets the store to a snapshot: the revision goes back, leases end, the
+// history is dropped and pending watches return.
 func (s *Store) Restore(from Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +34,7 @@
 	s.leases = map[store.LeaseID]*lease{}
 	s.entries = maps.Clone(from.entries)
 	s.revision = from.revision
-	s.history.clear(from.revision)
+	s.history.reset(from.revision)
 	for w := range s.waiters {
 		delete(s.waiters, w)
 		close(w.wake)
--- a/store/memkv/snapshot_test.go
+++ b/store/memkv/snapshot_test.go
@@ -10,9 +10,8 @@
 	"github.com/yuccaroute/yuccaroute/store/memkv"
 )
 
-// Story: the service is restored from an older copy while a node watches. The
-// node waits for revisions above the newest it saw; it would miss everything
-// written until the service has counted up to there again.
+// A watch pending during a restore from an older backup must be reset: it waits
+// for revisions above the restored one and would miss the writes up to there.
 func TestRestoreResetsWaitingWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
@@ -42,7 +41,7 @@
 		var conflict *store.ConflictError
 		_, err = kv.Swap(t.Context(), "a", []byte("3"), second, 0)
 		if !errors.As(err, &conflict) || conflict.Current != first {
-			t.Errorf("write on a lost revision: %v", err)
+			t.Errorf("write at a revision newer than the backup: %v", err)
 		}
 	})
 }
--- a/store/memkv/store.go
+++ b/store/memkv/store.go
@@ -1,6 +1,6 @@
-// Package memkv is the key-value service in memory. It stands in for the
-// platform's service in tests and behind the platform stand-in. Leases lapse
-// by the time package, so it runs in a testing/synctest bubble.
+// Package memkv is an in-memory implementation of store.KV for tests and the
+// platform stand-in. Leases expire by timers of the time package, so that it can
+// run in a testing/synctest bubble.
 package memkv
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Store implements store.KV.
+// Store is an in-memory store.KV. It is safe for concurrent use.
 type Store struct {
 	options Options
 
@@ -43,14 +43,14 @@
 	}
 }
 
-// Get returns the entry or store.ErrNotFound.
+// Get implements store.KV.
 func (s *Store) Get(ctx context.Context, key string) (store.Entry, error) {
 	if ctx.Err() != nil {
 		return store.Entry{}, store.ErrUnavailable
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(key)
+	s.expireLeaseOf(key)
 	entry, ok := s.entries[key]
 	if !ok {
 		return store.Entry{}, store.ErrNotFound
@@ -58,14 +58,14 @@
 	return clone(entry), nil
 }
 
-// List returns all entries under prefix, sorted by key.
+// List implements store.KV.
 func (s *Store) List(ctx context.Context, prefix string) (store.Listing, error) {
 	if ctx.Err() != nil {
 		return store.Listing{}, store.ErrUnavailable
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expireAll(prefix)
+	s.expireLeasesUnder(prefix)
 	listing := store.Listing{At: s.revision}
 	for key, entry := range s.entries {
 		if strings.HasPrefix(key, prefix) {
@@ -78,7 +78,7 @@
 	return listing, nil
 }
 
-// Swap writes value if the key is at revision expected.
+// Swap implements store.KV.
 func (s *Store) Swap(ctx context.Context, key string, value []byte, expected store.Revision, id store.LeaseID) (store.Revision, error) {
 	if ctx.Err() != nil {
 		return 0, store.ErrUnavailable
@@ -88,7 +88,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.check(key, expected); err != nil {
+	if err := s.checkRevision(key, expected); err != nil {
 		return 0, err
 	}
 	if id != 0 && s.liveLease(id) == nil {
@@ -97,14 +97,14 @@
 	return s.put(key, value, id), nil
 }
 
-// Delete removes the key if it is at revision expected.
+// Delete implements store.KV.
 func (s *Store) Delete(ctx context.Context, key string, expected store.Revision) error {
 	if ctx.Err() != nil {
 		return store.ErrUnavailable
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.check(key, expected); err != nil {
+	if err := s.checkRevision(key, expected); err != nil {
 		return err
 	}
 	if expected == 0 {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-func (s *Store) check(key string, expected store.Revision) error {
-	s.expire(key)
+func (s *Store) checkRevision(key string, expected store.Revision) error {
+	s.expireLeaseOf(key)
 	current := s.entries[key].Revision
 	if current != expected {
 		return &store.ConflictError{Key: key, Current: current}
@@ -157,13 +157,13 @@
 	}
 }
 
-func (s *Store) expire(key string) {
+func (s *Store) expireLeaseOf(key string) {
 	if id := s.entries[key].Lease; id != 0 {
 		s.liveLease(id)
 	}
 }
 
-func (s *Store) expireAll(prefix string) {
+func (s *Store) expireLeasesUnder(prefix string) {
 	for key, entry := range s.entries {
 		if entry.Lease != 0 && strings.HasPrefix(key, prefix) {
 			s.liveLease(entry.Lease)
--- a/store/memkv/watch.go
+++ b/store/memkv/watch.go
@@ -8,44 +8,44 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// waiter is a watch waiting for a change under its prefix.
+// waiter is a pending watch; wake is closed at the next change under its prefix.
 type waiter struct {
 	prefix string
 	wake   chan struct{}
 }
 
-// Watch returns the changes under prefix after the revision given. It waits
-// for the first one, at most the waiting time of the store.
+// Watch implements store.KV. It waits for the first change for at most
+// Options.WatchWait.
 func (s *Store) Watch(ctx context.Context, prefix string, after store.Revision) (store.Batch, error) {
 	deadline := time.NewTimer(s.options.WatchWait)
 	defer deadline.Stop()
 	for {
-		batch, w := s.changes(prefix, after)
+		batch, w := s.changesOrWaiter(prefix, after)
 		if w == nil {
 			return batch, nil
 		}
 		select {
 		case <-w.wake:
 		case <-deadline.C:
-			s.forget(w)
-			batch, last := s.changes(prefix, after)
-			s.forget(last)
+			s.removeWaiter(w)
+			batch, last := s.changesOrWaiter(prefix, after)
+			s.removeWaiter(last)
 			return batch, nil
 		case <-ctx.Done():
-			s.forget(w)
+			s.removeWaiter(w)
 			return store.Batch{}, store.ErrUnavailable
 		}
 	}
 }
 
-// changes returns a batch, or, when there is no change yet, an empty batch
-// and a waiter registered under the same lock, so that no change between the
-// look and the wait is missed.
-func (s *Store) changes(prefix string, after store.Revision) (store.Batch, *waiter) {
+// changesOrWaiter returns a batch, or, when there is no change yet, an empty batch
+// and a waiter. The waiter is registered under the same lock, so that no change
+// is missed in between.
+func (s *Store) changesOrWaiter(prefix string, after store.Revision) (store.Batch, *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// A revision the store has not reached yet comes from before the store
-	// was restored from an older copy; only a new list helps that watcher.
+	// A revision above the current one is from before a restore; the watcher must
+	// list again.
 	if after > s.revision {
 		return store.Batch{At: s.revision, Reset: true}, nil
 	}
@@ -62,7 +62,7 @@
 	return batch, w
 }
 
-func (s *Store) forget(w *waiter) {
+func (s *Store) removeWaiter(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiters, w)
