--- a/store/storetest/history.go
+++ b/store/storetest/history.go
@@ -8,8 +8,9 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// history records operations. Calls and returns are ordered by a counter, not
-// by a clock, so that it works in a bubble whose clock stands still.
+// history records operations for the linearizability check. Calls and returns
+// are ordered by a counter, because the clock of a synctest bubble may not
+// advance between them.
 type history struct {
 	counter atomic.Int64
 
@@ -17,16 +18,16 @@
 	operations []porcupine.Operation
 }
 
-func (h *history) call() int64 {
+func (h *history) nextTime() int64 {
 	return h.counter.Add(1)
 }
 
-// add records an operation that returned now. One whose outcome is unknown
-// may take effect at any later time, so it returns at the end of time.
-func (h *history) add(client int, call int64, in input, out output) {
-	ended := h.counter.Add(1)
+// record adds an operation that has just returned. An operation with an unknown
+// outcome may take effect at any later time, so its return time is unbounded.
+func (h *history) record(client int, call int64, in input, out output) {
+	returned := h.counter.Add(1)
 	if out.outcome == outcomeUnknown {
-		ended = math.MaxInt64
+		returned = math.MaxInt64
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,6 +36,6 @@
 		Input:    in,
 		Call:     call,
 		Output:   out,
-		Return:   ended,
+		Return:   returned,
 	})
 }
--- a/store/storetest/keys.go
+++ b/store/storetest/keys.go
@@ -26,11 +26,11 @@
 		t.Fatalf("got %v, want a conflict", err)
 	}
 	if conflict.Current != current {
-		t.Errorf("conflict shows revision %d, want %d", conflict.Current, current)
+		t.Errorf("current revision in the conflict is %d, want %d", conflict.Current, current)
 	}
 }
 
-func mustBe(t *testing.T, err, want error) {
+func mustBeError(t *testing.T, err, want error) {
 	t.Helper()
 	if !errors.Is(err, want) {
 		t.Fatalf("got %v, want %v", err, want)
@@ -40,7 +40,7 @@
 func checkSwap(t *testing.T, kv store.KV) {
 	ctx := t.Context()
 	_, err := kv.Get(ctx, "a")
-	mustBe(t, err, store.ErrNotFound)
+	mustBeError(t, err, store.ErrNotFound)
 	_, err = kv.Swap(ctx, "a", []byte("x"), 7, 0)
 	mustConflict(t, err, 0)
 	first := mustSwap(t, kv, "a", "1", 0, 0)
@@ -49,7 +49,7 @@
 	other := mustSwap(t, kv, "b", "2", 0, 0)
 	second := mustSwap(t, kv, "a", "3", first, 0)
 	if !(first < other && other < second) {
-		t.Errorf("revisions %d, %d, %d do not grow", first, other, second)
+		t.Errorf("revisions %d, %d, %d do not increase", first, other, second)
 	}
 	entry, err := kv.Get(ctx, "a")
 	if err != nil {
@@ -71,7 +71,7 @@
 	mustConflict(t, kv.Delete(ctx, "a", first), 0)
 	again := mustSwap(t, kv, "a", "2", 0, 0)
 	if again <= first+1 {
-		t.Errorf("revision %d after a delete at or after %d", again, first+1)
+		t.Errorf("revision after the delete is %d, want more than %d", again, first+1)
 	}
 }
 
@@ -80,10 +80,10 @@
 	largest := strings.Repeat("x", store.MaxValueBytes)
 	mustSwap(t, kv, "a", largest, 0, 0)
 	_, err := kv.Swap(ctx, "b", []byte(largest+"x"), 0, 0)
-	mustBe(t, err, store.ErrTooLarge)
+	mustBeError(t, err, store.ErrTooLarge)
 	entry, err := kv.Get(ctx, "a")
 	if err != nil || string(entry.Value) != largest {
-		t.Errorf("largest value came back with %d bytes: %v", len(entry.Value), err)
+		t.Errorf("value of the maximum size was read back with %d bytes: %v", len(entry.Value), err)
 	}
 }
 
--- a/store/storetest/lease.go
+++ b/store/storetest/lease.go
@@ -16,17 +16,17 @@
 	return id
 }
 
-func checkLeaseLapses(t *testing.T, kv store.KV) {
+func checkLeaseExpires(t *testing.T, kv store.KV) {
 	ctx := t.Context()
 	id, revision := bindToShortLease(t, kv, "a")
 	awaitRemoval(t, kv, "a", revision)
-	mustBe(t, kv.KeepAlive(ctx, id), store.ErrLeaseGone)
+	mustBeError(t, kv.KeepAlive(ctx, id), store.ErrLeaseGone)
 	_, err := kv.Swap(ctx, "a", []byte("2"), 0, id)
-	mustBe(t, err, store.ErrLeaseGone)
+	mustBeError(t, err, store.ErrLeaseGone)
 }
 
-// bindToShortLease makes the lease longer until a busy machine can write the
-// key before it lapses.
+// bindToShortLease doubles the TTL until the key is written before the lease
+// expires, which may take several attempts on a busy machine.
 func bindToShortLease(t *testing.T, kv store.KV, key string) (store.LeaseID, store.Revision) {
 	t.Helper()
 	for ttl := leaseTTL; ; ttl *= 2 {
@@ -35,7 +35,7 @@
 		if err == nil {
 			return id, revision
 		}
-		mustBe(t, err, store.ErrLeaseGone)
+		mustBeError(t, err, store.ErrLeaseGone)
 	}
 }
 
@@ -52,16 +52,15 @@
 	}
 	for _, key := range []string{"a", "b"} {
 		_, err := kv.Get(ctx, key)
-		mustBe(t, err, store.ErrNotFound)
+		mustBeError(t, err, store.ErrNotFound)
 	}
-	mustBe(t, kv.Revoke(ctx, id), store.ErrLeaseGone)
+	mustBeError(t, kv.Revoke(ctx, id), store.ErrLeaseGone)
 	_, err := kv.Swap(ctx, "a", []byte("2"), 0, id)
-	mustBe(t, err, store.ErrLeaseGone)
+	mustBeError(t, err, store.ErrLeaseGone)
 }
 
-// checkLeaseLeft checks that the last write decides which lease a key hangs
-// on.
-func checkLeaseLeft(t *testing.T, kv store.KV) {
+// checkKeyLeavesLease checks that a key is bound to the lease of its last write.
+func checkKeyLeavesLease(t *testing.T, kv store.KV) {
 	ctx := t.Context()
 	id := mustGrant(t, kv, longTTL)
 	first := mustSwap(t, kv, "a", "1", 0, id)
@@ -70,6 +69,6 @@
 		t.Fatal(err)
 	}
 	if _, err := kv.Get(ctx, "a"); err != nil {
-		t.Errorf("key that left its lease: %v", err)
+		t.Errorf("key that is no longer bound to the lease: %v", err)
 	}
 }
--- a/store/storetest/model.go
+++ b/store/storetest/model.go
@@ -11,20 +11,20 @@
 	value string
 	// revision is 0 when the key does not exist.
 	revision store.Revision
-	// hidden is set after a write whose answer was lost: its revision is
-	// above this field's neighbour and not known before somebody reads it.
-	hidden bool
+	// revisionUnknown is set after a write whose response was lost: the key is
+	// at some revision above the field revision until a response shows which.
+	revisionUnknown bool
 }
 
-func (r register) mayBeAt(revision store.Revision) bool {
-	if r.hidden {
+func (r register) mayHaveRevision(revision store.Revision) bool {
+	if r.revisionUnknown {
 		return revision > r.revision
 	}
 	return revision == r.revision
 }
 
-// seen is the register after somebody learnt its revision.
-func (r register) seen(revision store.Revision) register {
+// withRevision returns the register once a response has shown its revision.
+func (r register) withRevision(revision store.Revision) register {
 	return register{value: r.value, revision: revision}
 }
 
@@ -60,33 +60,33 @@
 	case outcomeUnknown:
 		return stepUnknown(r, in)
 	case outcomeConflict:
-		if out.revision == in.expected || !r.mayBeAt(out.revision) {
+		if out.revision == in.expected || !r.mayHaveRevision(out.revision) {
 			return nil
 		}
-		return []any{r.seen(out.revision)}
+		return []any{r.withRevision(out.revision)}
 	case outcomeNotFound:
-		if !r.mayBeAt(0) {
+		if !r.mayHaveRevision(0) {
 			return nil
 		}
 		return []any{r}
 	}
-	return stepDone(r, in, out)
+	return stepSucceeded(r, in, out)
 }
 
-func stepDone(r register, in input, out output) []any {
+func stepSucceeded(r register, in input, out output) []any {
 	switch in.action {
 	case actionGet:
-		if r.value != out.value || !r.mayBeAt(out.revision) {
+		if r.value != out.value || !r.mayHaveRevision(out.revision) {
 			return nil
 		}
-		return []any{r.seen(out.revision)}
+		return []any{r.withRevision(out.revision)}
 	case actionSwap:
-		if !r.mayBeAt(in.expected) || out.revision <= in.expected {
+		if !r.mayHaveRevision(in.expected) || out.revision <= in.expected {
 			return nil
 		}
 		return []any{register{value: in.value, revision: out.revision}}
 	default:
-		if !r.mayBeAt(in.expected) {
+		if !r.mayHaveRevision(in.expected) {
 			return nil
 		}
 		return []any{register{}}
@@ -95,12 +95,12 @@
 
 // stepUnknown allows both that the write took effect and that it did not.
 func stepUnknown(r register, in input) []any {
-	if !r.mayBeAt(in.expected) {
+	if !r.mayHaveRevision(in.expected) {
 		return []any{r}
 	}
 	if in.action == actionDelete {
 		return []any{r, register{}}
 	}
-	written := register{value: in.value, revision: in.expected, hidden: true}
+	written := register{value: in.value, revision: in.expected, revisionUnknown: true}
 	return []any{r, written}
 }
--- a/store/storetest/operation.go
+++ b/store/storetest/operation.go
@@ -10,7 +10,7 @@
 	actionDelete
 )
 
-// input is what a client asked for.
+// input holds the arguments of a call.
 type input struct {
 	action   action
 	key      string
@@ -21,17 +21,18 @@
 type outcome uint8
 
 const (
-	outcomeDone outcome = iota
+	outcomeSucceeded outcome = iota
 	outcomeConflict
 	outcomeNotFound
 	outcomeUnavailable
 	outcomeUnknown
 )
 
-// output is what the client was told.
+// output holds the result of a call.
 type output struct {
 	outcome outcome
-	// value and revision are what was read, written or found in conflict.
+	// value and revision are those read or written, or the current revision of
+	// a conflict.
 	value    string
 	revision store.Revision
 }
--- a/store/storetest/run.go
+++ b/store/storetest/run.go
@@ -1,4 +1,4 @@
-// Package storetest checks that a store.KV keeps the contract.
+// Package storetest checks that an implementation of store.KV keeps its contract.
 package storetest
 
 import (
@@ -8,17 +8,17 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// HistoryEvents is how many changes the service under test must be set to
-// keep for watches.
+// HistoryEvents is the number of events that the service under test must be
+// configured to keep for watches.
 const HistoryEvents = 64
 
-// leaseTTL is short, as the check waits for leases to lapse.
+// leaseTTL is short, because the check waits for the lease to expire.
 const leaseTTL = 50 * time.Millisecond
 
-// longTTL is for leases that must not lapse during a check.
+// longTTL is for leases that must not expire during a check.
 const longTTL = time.Hour
 
-// Run checks the service that open returns, a new and empty one each time.
+// Run runs each check against a new, empty service returned by open.
 func Run(t *testing.T, open func(t *testing.T) store.KV) {
 	checks := map[string]func(*testing.T, store.KV){
 		"swap":                  checkSwap,
@@ -29,10 +29,10 @@
 		"watch waits":           checkWatchWaits,
 		"watch empty":           checkWatchEmpty,
 		"watch reset":           checkWatchReset,
-		"watch of future":       checkWatchOfFuture,
-		"lease lapses":          checkLeaseLapses,
+		"watch future revision": checkWatchFutureRevision,
+		"lease expires":         checkLeaseExpires,
 		"lease revoked":         checkLeaseRevoked,
-		"lease left by its key": checkLeaseLeft,
+		"key leaves lease":      checkKeyLeavesLease,
 	}
 	for name, check := range checks {
 		t.Run(name, func(t *testing.T) { check(t, open(t)) })
--- a/store/storetest/watch.go
+++ b/store/storetest/watch.go
@@ -18,7 +18,7 @@
 	return batch
 }
 
-// awaitRemoval watches until the key was removed.
+// awaitRemoval watches until the key is deleted.
 func awaitRemoval(t *testing.T, kv store.KV, key string, after store.Revision) {
 	t.Helper()
 	for {
@@ -57,7 +57,7 @@
 	}
 	rest := mustWatch(t, kv, "p/", second)
 	if len(rest.Events) != 2 || !rest.Events[0].Deleted {
-		t.Errorf("events after %d: %+v, want the removal and one write", second, rest.Events)
+		t.Errorf("events after %d: %+v, want a deletion and one write", second, rest.Events)
 	}
 }
 
@@ -92,16 +92,17 @@
 		last = mustSwap(t, kv, "p/a", "1", last, 0)
 	}
 	if batch := mustWatch(t, kv, "p/", first); !batch.Reset {
-		t.Error("a watch from before the history was not reset")
+		t.Error("watch from a revision before the history was not reset")
 	}
 	if batch := mustWatch(t, kv, "p/", last-1); batch.Reset || len(batch.Events) != 1 {
-		t.Errorf("a watch from within the history returned %+v", batch)
+		t.Errorf("watch from a revision in the history returned %+v", batch)
 	}
 }
 
-// checkWatchOfFuture is for a service restored from an older copy: a watcher
-// that waited for the old revisions to come again would miss the new ones.
-func checkWatchOfFuture(t *testing.T, kv store.KV) {
+// checkWatchFutureRevision covers a service restored from an older backup: a
+// watch from a revision of before the restore must not wait until it is reached
+// again, as it would miss the changes up to there.
+func checkWatchFutureRevision(t *testing.T, kv store.KV) {
 	last := mustSwap(t, kv, "p/a", "1", 0, 0)
 	if batch := mustWatch(t, kv, "p/", last+1000); !batch.Reset || batch.At != last {
 		t.Errorf("batch %+v, want a reset at %d", batch, last)
--- a/store/storetest/workload.go
+++ b/store/storetest/workload.go
@@ -12,23 +12,23 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Workload is a random history of calls on a few keys.
+// Workload makes random concurrent calls on a few keys.
 type Workload struct {
 	Seed uint64
-	// Clients call at once, each through its own KV.
+	// Clients make their calls concurrently, each through its own KV.
 	Clients []store.KV
 	// Calls is the number of calls of each client.
 	Calls int
-	// Keys is the number of keys they share.
+	// Keys is the number of keys that the clients share.
 	Keys int
-	// Settle is called after all calls, to wait for late writes. Each key is
+	// Settle is called after all calls to wait for late writes. Each key is
 	// then read once more.
 	Settle func()
 }
 
-// Linearizable runs the workload and reports whether one order of the calls
-// explains all answers: each write that was said to have happened did, once,
-// and none that was said not to have happened did.
+// Linearizable runs the workload and reports whether its history is
+// linearizable: each write reported as applied was applied exactly once, and no
+// write reported as not applied was.
 func (w Workload) Linearizable(ctx context.Context) bool {
 	h := &history{}
 	var clients sync.WaitGroup
@@ -38,31 +38,30 @@
 	}
 	clients.Wait()
 	w.Settle()
-	last := newClient(len(w.Clients), w.Clients[0], w.Seed, h)
+	reader := newClient(len(w.Clients), w.Clients[0], w.Seed, h)
 	for i := range w.Keys {
-		last.get(ctx, keyName(i))
+		reader.get(ctx, keyName(i))
 	}
 	return porcupine.CheckOperations(model(), h.operations)
 }
 
-// client makes random calls and remembers the last revision it saw of each
-// key.
+// client makes random calls and keeps the last revision it observed of each key.
 type client struct {
-	id      int
-	kv      store.KV
-	source  *rand.Rand
-	history *history
-	known   map[string]store.Revision
-	written int
+	id            int
+	kv            store.KV
+	random        *rand.Rand
+	history       *history
+	lastRevisions map[string]store.Revision
+	swapCount     int
 }
 
 func newClient(id int, kv store.KV, seed uint64, h *history) *client {
 	return &client{
-		id:      id,
-		kv:      kv,
-		source:  rand.New(rand.NewPCG(seed, uint64(id))),
-		history: h,
-		known:   map[string]store.Revision{},
+		id:            id,
+		kv:            kv,
+		random:        rand.New(rand.NewPCG(seed, uint64(id))),
+		history:       h,
+		lastRevisions: map[string]store.Revision{},
 	}
 }
 
@@ -70,14 +69,14 @@
 	return fmt.Sprintf("key/%d", i)
 }
 
-// Of ten calls of a client, four are reads, five writes and one a removal.
+// run chooses a read for 40% of the calls, a swap for 50% and a delete for 10%.
 func (c *client) run(ctx context.Context, calls, keys int) {
 	for range calls {
-		key := keyName(c.source.IntN(keys))
-		switch at := c.source.IntN(10); {
-		case at < 4:
+		key := keyName(c.random.IntN(keys))
+		switch choice := c.random.IntN(10); {
+		case choice < 4:
 			c.get(ctx, key)
-		case at < 9:
+		case choice < 9:
 			c.swap(ctx, key)
 		default:
 			c.delete(ctx, key)
@@ -86,49 +85,49 @@
 }
 
 func (c *client) get(ctx context.Context, key string) {
-	call := c.history.call()
+	call := c.history.nextTime()
 	entry, err := c.kv.Get(ctx, key)
 	out := outputOf(err)
 	if err == nil {
 		out.value, out.revision = string(entry.Value), entry.Revision
 	}
-	c.finish(call, input{action: actionGet, key: key}, out)
+	c.record(call, input{action: actionGet, key: key}, out)
 }
 
 func (c *client) swap(ctx context.Context, key string) {
-	c.written++
+	c.swapCount++
 	in := input{
 		action:   actionSwap,
 		key:      key,
-		value:    fmt.Sprintf("%d-%d", c.id, c.written),
-		expected: c.known[key],
+		value:    fmt.Sprintf("%d-%d", c.id, c.swapCount),
+		expected: c.lastRevisions[key],
 	}
-	call := c.history.call()
+	call := c.history.nextTime()
 	revision, err := c.kv.Swap(ctx, key, []byte(in.value), in.expected, 0)
 	out := outputOf(err)
 	if err == nil {
 		out.revision = revision
 	}
-	c.finish(call, in, out)
+	c.record(call, in, out)
 }
 
 func (c *client) delete(ctx context.Context, key string) {
-	in := input{action: actionDelete, key: key, expected: c.known[key]}
+	in := input{action: actionDelete, key: key, expected: c.lastRevisions[key]}
 	if in.expected == 0 {
 		return
 	}
-	call := c.history.call()
+	call := c.history.nextTime()
 	err := c.kv.Delete(ctx, key, in.expected)
-	c.finish(call, in, outputOf(err))
+	c.record(call, in, outputOf(err))
 }
 
-func (c *client) finish(call int64, in input, out output) {
-	c.history.add(c.id, call, in, out)
+func (c *client) record(call int64, in input, out output) {
+	c.history.record(c.id, call, in, out)
 	switch out.outcome {
-	case outcomeDone, outcomeConflict:
-		c.known[in.key] = out.revision
+	case outcomeSucceeded, outcomeConflict:
+		c.lastRevisions[in.key] = out.revision
 	case outcomeNotFound:
-		c.known[in.key] = 0
+		c.lastRevisions[in.key] = 0
 	}
 }
 
@@ -136,7 +135,7 @@
 	var conflict *store.ConflictError
 	switch {
 	case err == nil:
-		return output{outcome: outcomeDone}
+		return output{outcome: outcomeSucceeded}
 	case errors.As(err, &conflict):
 		return output{outcome: outcomeConflict, revision: conflict.Current}
 	case errors.Is(err, store.ErrNotFound):
--- a/store/storetest/workload_test.go
+++ b/store/storetest/workload_test.go
@@ -19,8 +19,8 @@
 	MaxDelay: 20 * time.Millisecond,
 }
 
-// linearizable runs a workload against the service in memory, each client
-// behind wrap of its own faulty link.
+// linearizable runs a workload against the in-memory service. Each client has
+// its own faulty link, wrapped by wrap.
 func linearizable(t *testing.T, seed uint64, wrap func(store.KV) store.KV) (ok bool) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := memkv.New(memkv.Options{})
@@ -43,29 +43,31 @@
 	return ok
 }
 
-func TestRandomHistory(t *testing.T) {
+func TestRandomHistoryIsLinearizable(t *testing.T) {
 	for seed := range uint64(20) {
 		if !linearizable(t, seed, func(kv store.KV) store.KV { return kv }) {
-			t.Errorf("seed %d: no order of the calls explains the answers", seed)
+			t.Errorf("seed %d: the history is not linearizable", seed)
 		}
 	}
 }
 
-// deny says of a write with a lost answer that it did not happen.
-type deny struct{ store.KV }
+// reportsUnknownAsUnavailable reports a write whose response was lost as not
+// applied.
+type reportsUnknownAsUnavailable struct{ store.KV }
 
-func (d deny) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
-	revision, err := d.KV.Swap(ctx, key, value, expected, lease)
+func (r reportsUnknownAsUnavailable) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
+	revision, err := r.KV.Swap(ctx, key, value, expected, lease)
 	if errors.Is(err, store.ErrUnknown) {
 		err = store.ErrUnavailable
 	}
 	return revision, err
 }
 
-// resend sends a write with a lost answer again, as an HTTP library may do.
-type resend struct{ store.KV }
+// retriesUnknown retries a write whose response was lost, as an HTTP library may
+// do.
+type retriesUnknown struct{ store.KV }
 
-func (r resend) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
+func (r retriesUnknown) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
 	revision, err := r.KV.Swap(ctx, key, value, expected, lease)
 	for errors.Is(err, store.ErrUnknown) {
 		revision, err = r.KV.Swap(ctx, key, value, expected, lease)
@@ -73,15 +75,15 @@
 	return revision, err
 }
 
-// TestHistoryCheckCanFail plants two errors of an adapter and looks whether
-// the check finds them: a lost answer taken for a refusal, and a write sent
-// again, whose conflict with its own first copy is passed on.
-func TestHistoryCheckCanFail(t *testing.T) {
-	planted := map[string]func(store.KV) store.KV{
-		"lost answer denied": func(kv store.KV) store.KV { return deny{kv} },
-		"write sent again":   func(kv store.KV) store.KV { return resend{kv} },
+// TestHistoryCheckDetectsFaultyAdapters checks that the workload detects an
+// adapter that reports a lost response as a refusal, and one that retries a
+// write and returns the conflict with its own first attempt.
+func TestHistoryCheckDetectsFaultyAdapters(t *testing.T) {
+	faultyAdapters := map[string]func(store.KV) store.KV{
+		"lost answer denied": func(kv store.KV) store.KV { return reportsUnknownAsUnavailable{kv} },
+		"write sent again":   func(kv store.KV) store.KV { return retriesUnknown{kv} },
 	}
-	for name, wrap := range planted {
+	for name, wrap := range faultyAdapters {
 		t.Run(name, func(t *testing.T) {
 			found := 0
 			for seed := range uint64(20) {
@@ -90,9 +92,9 @@
 				}
 			}
 			if found == 0 {
-				t.Error("not found with any seed")
+				t.Error("not detected with any seed")
 			}
-			t.Logf("found with %d of 20 seeds", found)
+			t.Logf("detected with %d of 20 seeds", found)
 		})
 	}
 }
