--- a/api/retrybudget/budget.go
+++ b/api/retrybudget/budget.go
@@ -23,8 +23,8 @@
 	return &Budget{most: most, saved: start}
 }
 
-// Fresh pays in for one fresh request: the share of a retry that it earns.
-func (b *Budget) Fresh(share float64) { b.add(share) }
+// Deposit pays in for one fresh request: the share of a retry that it earns.
+func (b *Budget) Deposit(share float64) { b.add(share) }
 
 // Take spends one retry and reports whether there was one.
 func (b *Budget) Take() bool {
@@ -37,8 +37,8 @@
 	return true
 }
 
-// Give returns a retry that was taken and not made.
-func (b *Budget) Give() { b.add(1) }
+// Refund returns a retry that was taken and not made.
+func (b *Budget) Refund() { b.add(1) }
 
 func (b *Budget) add(retries float64) {
 	b.mu.Lock()
--- a/api/retrybudget/budget_test.go
+++ b/api/retrybudget/budget_test.go
@@ -9,11 +9,11 @@
 	const start, most, share, fresh = 1, 20, 0.25, 1000
 	b := New(start, most)
 	for range 10 * most {
-		b.Fresh(1)
+		b.Deposit(1)
 	}
 	retries := 0
 	for range fresh {
-		b.Fresh(share)
+		b.Deposit(share)
 		for b.Take() {
 			retries++
 		}
@@ -21,7 +21,7 @@
 	if want := most + int(share*fresh) - 1; retries < want || retries > most+int(share*fresh) {
 		t.Errorf("%d retries for %d requests, want %d", retries, fresh, want)
 	}
-	b.Give()
+	b.Refund()
 	if !b.Take() || b.Take() {
 		t.Error("a retry that was given back is not there once")
 	}
--- a/client/do.go
+++ b/client/do.go
@@ -34,7 +34,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, cmp.Or(r.Deadline, c.options.Timeout))
 	defer cancel()
-	c.budget.Fresh(c.options.RetryShare)
+	c.budget.Deposit(c.options.RetryShare)
 	e := &exchange{client: c, request: &r, tried: make(map[string]time.Time)}
 	last := e.run(ctx)
 	last.answer.Attempts = e.attempts
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -43,7 +43,7 @@
 
 // run places and sends a request until it succeeds or may not be retried.
 func (g *Gateway) run(ctx context.Context, r *request) outcome {
-	g.budgetOf(r.service).Fresh(budgetFraction * g.options.RetryRatio)
+	g.budgetOf(r.service).Deposit(budgetFraction * g.options.RetryRatio)
 	for {
 		d, end := g.place(ctx, r)
 		if d.Target == nil {
@@ -179,7 +179,7 @@
 		}
 	}
 	if d.Target == nil {
-		g.budgetOf(r.service).Give()
+		g.budgetOf(r.service).Refund()
 		return d, false
 	}
 	return d, true
--- a/httpserver/server.go
+++ b/httpserver/server.go
@@ -54,7 +54,7 @@
 		Handler:         o.Handler,
 		MaxHTTPBodySize: o.MaxBodyBytes,
 		ReadLimit:       o.MaxBodyBytes + headerAllowanceBytes,
-		OnRequest:       LeaveClosing,
+		OnRequest:       LetClientClose,
 		// Without it the library keeps a queue of 0.5 MB for clients.
 		SupportServerOnly: true,
 	})
@@ -80,7 +80,7 @@
 	s.engine.AddConnTLSNonBlocking(conn, s.tls, func() {})
 }
 
-// LeaveClosing lets the caller close a connection that it asked to be closed.
+// LetClientClose lets the caller close a connection that it asked to be closed.
 // It is an nbhttp OnRequest hook.
 //
 // Guard against a race of the library: when the server closes a connection
@@ -88,7 +88,7 @@
 // be taken for one of the next connection, which got the same descriptor, and
 // closes that one before its request is read. A connection whose caller closes
 // it is closed by the reading goroutine itself, after all its events.
-func LeaveClosing(w http.ResponseWriter, r *http.Request) {
+func LetClientClose(w http.ResponseWriter, r *http.Request) {
 	if r.Close && r.ProtoAtLeast(1, 1) {
 		r.Close = false
 		w.Header().Set("Connection", "close")
--- a/proxy/attempt_timeout.go
+++ b/proxy/attempt_timeout.go
@@ -43,6 +43,6 @@
 // returnRetry returns a reserved retry that was not used.
 func (q *request) returnRetry(wait attemptTimeout) {
 	if wait.reserved {
-		q.service.state.retryBudget.Give()
+		q.service.state.retryBudget.Refund()
 	}
 }
--- a/proxy/ingress/server.go
+++ b/proxy/ingress/server.go
@@ -53,7 +53,7 @@
 		MaxHTTPBodySize: o.MaxBodyBytes,
 		ReadLimit:       o.MaxBodyBytes + o.MaxHeadBytes,
 		KeepaliveTime:   o.IdleTime,
-		OnRequest:       httpserver.LeaveClosing,
+		OnRequest:       httpserver.LetClientClose,
 		// Without it the library keeps a queue of 0.5 MB for clients.
 		SupportServerOnly: true,
 		// Every connection can have its request in hand at once. With fewer,
--- a/proxy/relocation.go
+++ b/proxy/relocation.go
@@ -33,7 +33,9 @@
 func (b *relocationBudget) setCapLeft(share float64) { b.capLeft.Store(math.Float64bits(share)) }
 
 // addFirstRequest credits the budget for a request that is not a retry.
-func (b *relocationBudget) addFirstRequest() { b.budget.Fresh(math.Float64frombits(b.capLeft.Load())) }
+func (b *relocationBudget) addFirstRequest() {
+	b.budget.Deposit(math.Float64frombits(b.capLeft.Load()))
+}
 
 // choosePlace chooses the place of a request by the current shares. A request
 // that was refused in a place returns to it unless the budget allows a
--- a/proxy/run.go
+++ b/proxy/run.go
@@ -22,7 +22,7 @@
 	if place == nil {
 		return refusalResponse(refuse(result.NoTarget))
 	}
-	q.service.state.retryBudget.Fresh(q.service.service.RetryBudget)
+	q.service.state.retryBudget.Deposit(q.service.service.RetryBudget)
 	permission, refused := p.permit(ctx, q, place)
 	if refused != nil {
 		place.countRefusal(refused.code)
