--- a/proxy/ingress/server.go
+++ b/proxy/ingress/server.go
@@ -52,7 +52,7 @@
 		MaxHTTPBodySize: o.MaxBodyBytes,
 		ReadLimit:       o.MaxBodyBytes + o.MaxHeaderBytes,
 		KeepaliveTime:   o.IdleTimeout,
-		OnRequest:       httpserver.LeaveClosing,
+		OnRequest:       httpserver.LetClientClose,
 		// Avoids a client queue that is not used here.
 		SupportServerOnly: true,
 		// One worker per connection, so that waiting requests of one account
