--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -32,7 +32,7 @@
 }
 
 func (s *Server) serveList(w http.ResponseWriter, r *http.Request) {
-	if s.KV().Out() {
+	if s.KV().InOutage() {
 		http.Error(w, "platform is out", http.StatusServiceUnavailable)
 		return
 	}
--- a/store/faultkv/store.go
+++ b/store/faultkv/store.go
@@ -56,8 +56,8 @@
 	s.out = make(chan struct{})
 }
 
-// Out reports whether there is an outage.
-func (s *Store) Out() bool {
+// InOutage reports whether there is an outage.
+func (s *Store) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isOut
