--- a/store/faultkv/calls.go
+++ b/store/faultkv/calls.go
@@ -35,19 +35,19 @@
 
 // Swap implements store.KV.
 func (s *Store) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
-	// A late write runs after this call has returned, so it may not share
-	// the caller's value nor the returned revision.
-	kept := append([]byte(nil), value...)
-	answer := make(chan store.Revision, 1)
+	// A late write runs after this call has returned, so it must not share the
+	// value or the result variable with the caller.
+	valueCopy := append([]byte(nil), value...)
+	result := make(chan store.Revision, 1)
 	err := s.run(ctx, KindSwap, key, func(ctx context.Context) error {
-		revision, err := s.inner.Swap(ctx, key, kept, expected, lease)
-		answer <- revision
+		revision, err := s.inner.Swap(ctx, key, valueCopy, expected, lease)
+		result <- revision
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	return <-answer, nil
+	return <-result, nil
 }
 
 // Delete implements store.KV.
@@ -72,16 +72,16 @@
 
 // Grant implements store.KV.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
-	answer := make(chan store.LeaseID, 1)
+	result := make(chan store.LeaseID, 1)
 	err := s.run(ctx, KindGrant, "", func(ctx context.Context) error {
 		id, err := s.inner.Grant(ctx, ttl)
-		answer <- id
+		result <- id
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	return <-answer, nil
+	return <-result, nil
 }
 
 // KeepAlive implements store.KV.
--- a/store/faultkv/chooser.go
+++ b/store/faultkv/chooser.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Rates are the shares, 0 to 1, of calls that meet each fault.
+// Rates are the fractions of calls, from 0 to 1, that get each fault.
 type Rates struct {
 	Refuse     float64
 	Drop       float64
 	LoseAnswer float64
 	ApplyLate  float64
-	// MaxDelay bounds a random delay before and after the work of each call,
-	// and how late a write is applied.
+	// MaxDelay bounds the random delays before and after each call is applied,
+	// and the delay of a late write.
 	MaxDelay time.Duration
 }
 
-// Random draws faults from a source seeded with seed: the same calls in the
-// same order meet the same faults.
+// Random chooses faults with a generator seeded with seed: the same calls in the
+// same order get the same faults.
 func Random(seed uint64, rates Rates) Chooser {
 	source := rand.New(rand.NewPCG(seed, seed))
 	return func(Call) Decision {
 		return Decision{
-			Fault:       rates.pick(source.Float64()),
-			DelayBefore: delay(source, rates.MaxDelay),
-			DelayAfter:  delay(source, rates.MaxDelay),
-			LateBy:      delay(source, rates.MaxDelay),
+			Fault:       rates.faultAt(source.Float64()),
+			DelayBefore: randomDelay(source, rates.MaxDelay),
+			DelayAfter:  randomDelay(source, rates.MaxDelay),
+			LateBy:      randomDelay(source, rates.MaxDelay),
 		}
 	}
 }
 
-func (r Rates) pick(at float64) Fault {
+func (r Rates) faultAt(sample float64) Fault {
 	shares := []struct {
 		fault Fault
 		share float64
@@ -41,23 +41,23 @@
 		{ApplyLate, r.ApplyLate},
 	}
 	for _, s := range shares {
-		if at < s.share {
+		if sample < s.share {
 			return s.fault
 		}
-		at -= s.share
+		sample -= s.share
 	}
 	return None
 }
 
-func delay(source *rand.Rand, longest time.Duration) time.Duration {
-	if longest <= 0 {
+func randomDelay(source *rand.Rand, limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(source.Int64N(int64(longest)))
+	return time.Duration(source.Int64N(int64(limit)))
 }
 
-// Script gives the n-th call of a kind the n-th decision of its list, and
-// passes on the calls after the list's end.
+// Script gives the n-th call of a kind the n-th decision of its list. Calls after
+// the end of the list get no fault.
 func Script(decisions map[Kind][]Decision) Chooser {
 	return func(call Call) Decision {
 		list := decisions[call.Kind]
--- a/store/faultkv/counts.go
+++ b/store/faultkv/counts.go
@@ -1,7 +1,7 @@
 package faultkv
 
-// Counts holds how many calls of each kind were made. A watch counts as one
-// call however long it waits.
+// Counts holds the number of calls of each kind. A watch counts as one call,
+// however long it waits.
 type Counts [kindCount]uint64
 
 // Of returns the count of one kind.
@@ -18,7 +18,7 @@
 	return total
 }
 
-// Sub returns the calls made since an earlier reading.
+// Sub returns the number of calls made since earlier.
 func (c Counts) Sub(earlier Counts) Counts {
 	for i := range c {
 		c[i] -= earlier[i]
--- a/store/faultkv/decision.go
+++ b/store/faultkv/decision.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Fault is what happens to one call.
+// Fault is a kind of failure of a call.
 type Fault uint8
 
-// The faults. On a read every fault but None shows as store.ErrUnavailable.
+// The faults. On a read, every fault except None returns store.ErrUnavailable.
 const (
-	// None passes the call on.
+	// None applies the call and returns its result.
 	None Fault = iota
-	// Refuse does not apply the call and answers store.ErrUnavailable.
+	// Refuse does not apply the call and returns store.ErrUnavailable.
 	Refuse
-	// Drop does not apply the write and answers store.ErrUnknown.
+	// Drop does not apply the write and returns store.ErrUnknown.
 	Drop
-	// LoseAnswer applies the write and answers store.ErrUnknown.
+	// LoseAnswer applies the write and returns store.ErrUnknown.
 	LoseAnswer
-	// ApplyLate answers store.ErrUnknown now and sends the write, with the
-	// revision it expected, after Decision.LateBy.
+	// ApplyLate returns store.ErrUnknown at once and applies the write, with its
+	// original expected revision, after Decision.LateBy.
 	ApplyLate
 )
 
-// Decision is a fault with its times.
+// Decision is the fault of one call and its delays.
 type Decision struct {
 	Fault Fault
-	// DelayBefore passes before the service sees the call, DelayAfter
-	// between its work and the answer.
+	// DelayBefore is the delay before the call reaches the service, DelayAfter
+	// that before its response is returned.
 	DelayBefore time.Duration
 	DelayAfter  time.Duration
-	// LateBy is for ApplyLate.
+	// LateBy is the delay of a write with the fault ApplyLate.
 	LateBy time.Duration
 }
 
@@ -40,6 +40,6 @@
 	Number uint64
 }
 
-// Chooser decides what happens to a call. It is called from one goroutine at
-// a time.
+// Chooser decides which fault and delays a call gets. It is called by one
+// goroutine at a time.
 type Chooser func(Call) Decision
--- a/store/faultkv/kind.go
+++ b/store/faultkv/kind.go
@@ -37,8 +37,8 @@
 	return kindNames[k]
 }
 
-// Writes reports whether a call of this kind changes the service, so that a
-// lost answer leaves its outcome unknown.
+// Writes reports whether a call of this kind changes stored state, so that its
+// outcome is unknown when the response is lost.
 func (k Kind) Writes() bool {
 	switch k {
 	case KindGet, KindList, KindWatch:
--- a/store/faultkv/store.go
+++ b/store/faultkv/store.go
@@ -1,6 +1,6 @@
-// Package faultkv puts faults between a caller and a key-value service: the
-// service is out or slow, a write's answer is lost, a write is lost, or a
-// write arrives long after the caller has given it up. It counts the calls.
+// Package faultkv injects faults between a client and a key-value service:
+// outages, delays, lost responses, lost writes, and writes that are applied after
+// the client has received an error. It also counts the calls.
 package faultkv
 
 import (
@@ -12,58 +12,58 @@
 	"github.com/yuccaroute/yuccaroute/store"
 )
 
-// Store wraps a store.KV. It is safe for use by several goroutines.
+// Store wraps a store.KV and injects faults. It is safe for concurrent use.
 type Store struct {
 	inner store.KV
 
 	mu     sync.Mutex
 	choose Chooser
 	counts Counts
-	// out is closed while the service is out, so that waiting calls end.
-	out   chan struct{}
-	isOut bool
+	// outageStarted is closed during an outage, so that waiting calls end.
+	outageStarted chan struct{}
+	inOutage      bool
 
-	late sync.WaitGroup
+	lateWrites sync.WaitGroup
 }
 
 var _ store.KV = (*Store)(nil)
 
-// New wraps inner; a nil chooser passes all calls on.
+// New wraps inner; with a nil chooser no faults are injected.
 func New(inner store.KV, choose Chooser) *Store {
-	return &Store{inner: inner, choose: choose, out: make(chan struct{})}
+	return &Store{inner: inner, choose: choose, outageStarted: make(chan struct{})}
 }
 
-// SetChooser replaces the chooser.
+// SetChooser replaces the chooser; nil injects no faults.
 func (s *Store) SetChooser(choose Chooser) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.choose = choose
 }
 
-// SetOutage starts or ends an outage. During it every call is refused, and a
-// call already waiting ends as lost.
-func (s *Store) SetOutage(on bool) {
+// SetOutage starts or ends an outage. An outage refuses new calls and cancels
+// waiting calls, whose responses are lost.
+func (s *Store) SetOutage(active bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if on == s.isOut {
+	if active == s.inOutage {
 		return
 	}
-	s.isOut = on
-	if on {
-		close(s.out)
+	s.inOutage = active
+	if active {
+		close(s.outageStarted)
 		return
 	}
-	s.out = make(chan struct{})
+	s.outageStarted = make(chan struct{})
 }
 
 // InOutage reports whether there is an outage.
 func (s *Store) InOutage() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.isOut
+	return s.inOutage
 }
 
-// Counts returns the calls made so far, refused ones included.
+// Counts returns the number of calls so far, including refused calls.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,76 +72,77 @@
 
 // WaitLate waits until every late write has been attempted.
 func (s *Store) WaitLate() {
-	s.late.Wait()
+	s.lateWrites.Wait()
 }
 
-// start counts the call and decides what happens to it.
-func (s *Store) start(kind Kind, key string) (Decision, <-chan struct{}) {
+// decide counts the call and returns its decision, with a channel that is closed
+// when an outage starts.
+func (s *Store) decide(kind Kind, key string) (Decision, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[kind]++
-	if s.isOut {
-		return Decision{Fault: Refuse}, s.out
+	if s.inOutage {
+		return Decision{Fault: Refuse}, s.outageStarted
 	}
 	if s.choose == nil {
-		return Decision{}, s.out
+		return Decision{}, s.outageStarted
 	}
 	call := Call{Kind: kind, Key: key, Number: s.counts[kind]}
-	return s.choose(call), s.out
+	return s.choose(call), s.outageStarted
 }
 
-// run makes one call under its decision. work talks to the service.
-func (s *Store) run(ctx context.Context, kind Kind, key string, work func(context.Context) error) error {
-	decision, out := s.start(kind, key)
+// run decides on one call and applies it accordingly.
+func (s *Store) run(ctx context.Context, kind Kind, key string, apply func(context.Context) error) error {
+	decision, outageStarted := s.decide(kind, key)
 	if decision.Fault == Refuse {
 		return store.ErrUnavailable
 	}
-	lost := lostError(kind)
-	ctx, cancel := contextUntil(ctx, out)
+	lostErr := lostResponseError(kind)
+	ctx, cancel := contextUntilClosed(ctx, outageStarted)
 	defer cancel()
 	if !wait.For(ctx, decision.DelayBefore) {
-		return lost
+		return lostErr
 	}
 	switch decision.Fault {
 	case Drop:
-		return lost
+		return lostErr
 	case ApplyLate:
-		s.applyLate(kind, decision.LateBy, work)
-		return lost
+		s.applyLate(kind, decision.LateBy, apply)
+		return lostErr
 	}
-	err := work(ctx)
+	err := apply(ctx)
 	if !wait.For(ctx, decision.DelayAfter) || decision.Fault == LoseAnswer {
-		return lost
+		return lostErr
 	}
 	return err
 }
 
-func (s *Store) applyLate(kind Kind, by time.Duration, work func(context.Context) error) {
+func (s *Store) applyLate(kind Kind, delay time.Duration, apply func(context.Context) error) {
 	if !kind.Writes() {
 		return
 	}
-	s.late.Go(func() {
-		time.Sleep(by)
-		// The caller has its answer; nobody waits for this one.
-		_ = work(context.Background())
+	s.lateWrites.Go(func() {
+		time.Sleep(delay)
+		// The caller gets lostResponseError instead of this result.
+		_ = apply(context.Background())
 	})
 }
 
-// lostError is what a caller may conclude when no answer came.
-func lostError(kind Kind) error {
+// lostResponseError returns the error of a call whose response was lost.
+func lostResponseError(kind Kind) error {
 	if kind.Writes() {
 		return store.ErrUnknown
 	}
 	return store.ErrUnavailable
 }
 
-// contextUntil returns a context that also ends when out is closed.
-func contextUntil(ctx context.Context, out <-chan struct{}) (context.Context, context.CancelFunc) {
+// contextUntilClosed returns a context that also ends when closed is closed.
+func contextUntilClosed(ctx context.Context, closed <-chan struct{}) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		select {
-		case <-out:
+		case <-closed:
 			cancel()
 		case <-done:
 		}
--- a/store/faultkv/store_test.go
+++ b/store/faultkv/store_test.go
@@ -13,13 +13,13 @@
 	"github.com/yuccaroute/yuccaroute/store/memkv"
 )
 
-// TestFaultsOfAWrite looks at what the caller is told and what the service
-// has, at once and after a minute.
-func TestFaultsOfAWrite(t *testing.T) {
+// TestWriteFaults checks, for each fault, the returned error and whether the write
+// is applied at once and after a minute.
+func TestWriteFaults(t *testing.T) {
 	cases := map[string]struct {
-		decision     faultkv.Decision
-		told         error
-		atOnce, late bool
+		decision                         faultkv.Decision
+		wantErr                          error
+		appliedAtOnce, appliedAfterDelay bool
 	}{
 		"none":        {faultkv.Decision{}, nil, true, true},
 		"refuse":      {faultkv.Decision{Fault: faultkv.Refuse}, store.ErrUnavailable, false, false},
@@ -35,12 +35,12 @@
 					faultkv.KindSwap: {test.decision},
 				}))
 				_, err := kv.Swap(t.Context(), "a", []byte("x"), 0, 0)
-				if !errors.Is(err, test.told) {
-					t.Errorf("told %v, want %v", err, test.told)
+				if !errors.Is(err, test.wantErr) {
+					t.Errorf("got error %v, want %v", err, test.wantErr)
 				}
-				mustExist(t, inner, test.atOnce)
+				checkExists(t, inner, test.appliedAtOnce)
 				kv.WaitLate()
-				mustExist(t, inner, test.late)
+				checkExists(t, inner, test.appliedAfterDelay)
 				if n := kv.Counts().Of(faultkv.KindSwap); n != 1 {
 					t.Errorf("counted %d calls, want 1", n)
 				}
@@ -49,7 +49,7 @@
 	}
 }
 
-func mustExist(t *testing.T, kv store.KV, want bool) {
+func checkExists(t *testing.T, kv store.KV, want bool) {
 	t.Helper()
 	_, err := kv.Get(t.Context(), "a")
 	if exists := err == nil; exists != want {
@@ -57,21 +57,20 @@
 	}
 }
 
-// Story: a service goes out while a watch waits. The watcher must learn it
-// then, and not after the watch's whole waiting time.
+// A waiting watch must fail when the outage starts, not at its own timeout.
 func TestOutageEndsWaitingWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := faultkv.New(memkv.New(memkv.Options{}), nil)
-		began := time.Now()
+		start := time.Now()
 		go func() {
 			time.Sleep(time.Second)
 			kv.SetOutage(true)
 		}()
 		_, err := kv.Watch(context.Background(), "a", 0)
 		if !errors.Is(err, store.ErrUnavailable) {
-			t.Errorf("told %v, want unavailable", err)
+			t.Errorf("got error %v, want unavailable", err)
 		}
-		if waited := time.Since(began); waited != time.Second {
+		if waited := time.Since(start); waited != time.Second {
 			t.Errorf("waited %s, want 1s", waited)
 		}
 		kv.SetOutage(false)
