--- a/httpserver/handover/acceptor.go
+++ b/httpserver/handover/acceptor.go
@@ -1,11 +1,9 @@
-// Package handover accepts connections and hands them to an nbio engine in such
-// a way that no event of an earlier connection reaches them.
+// Package handover accepts connections and adds them to an nbio engine without
+// exposing them to stale events.
 //
-// A poller fetches events in batches and finds the connection of each by its
-// descriptor. When a connection is closed by another goroutine than its poller
-// (a time-out, a failed write, a stop), an event already fetched for it is
-// applied to whichever connection has the descriptor by then. It shows as a
-// sound connection that is closed before its request is read.
+// A poller fetches events in batches and looks up connections by descriptor. If
+// another goroutine closes a connection, an event already fetched for it can close
+// a new connection that reuses the descriptor before its request is read.
 package handover
 
 import (
@@ -18,57 +16,55 @@
 )
 
 const (
-	// acceptPause is the time between two tries after a failure, most likely
-	// for want of descriptors: some become free again.
-	acceptPause = 10 * time.Millisecond
-	// maxBatch bounds the connections that one barrier lets pass together.
+	// acceptRetryDelay is the delay after a failed accept, which is usually caused
+	// by a temporary shortage of descriptors.
+	acceptRetryDelay = 10 * time.Millisecond
+	// maxBatch limits the connections delivered after one wait on a barrier.
 	maxBatch = 128
 )
 
-// Acceptor takes connections from a listener until Stop.
+// Acceptor accepts connections from a listener until Stop is called.
 type Acceptor struct {
 	listener net.Listener
-	take     func(*nbio.Conn)
+	onAccept func(*nbio.Conn)
 	barriers []*barrier
-	// accepting is the loop on the listener, passing the loops of the barriers.
-	accepting, passing sync.WaitGroup
-	stopping           sync.Once
+	// deliverLoops has one goroutine per poller.
+	acceptLoop, deliverLoops sync.WaitGroup
+	stopOnce                 sync.Once
 }
 
-// Start accepts connections and calls take for each, from several goroutines;
-// take adds it to the engine or closes it. The engine must have been started, and
-// give what it reads to the connection's own handler, as nbhttp's does.
-// When Start returns without an error every poller of the engine runs.
+// Start accepts connections and calls onAccept for each, from several goroutines;
+// onAccept must add it to the engine or close it. The engine must be started and
+// pass data to the connection's own handler, as nbhttp does. When Start returns
+// without an error, every poller of the engine is running.
 //
-// After an error the engine must not be stopped: it forgets a stop that comes
-// before a poller has begun, which then spins on the stop's event for ever, and
-// nothing tells whether a poller without a probe has begun. It stays idle instead
-// until the process ends.
-func Start(engine *nbio.Engine, l net.Listener, take func(*nbio.Conn)) (*Acceptor, error) {
+// After an error, do not stop the engine: a poller that has not started yet would
+// miss the stop and spin forever.
+func Start(engine *nbio.Engine, l net.Listener, onAccept func(*nbio.Conn)) (*Acceptor, error) {
 	barriers, err := newBarriers(engine)
 	if err != nil {
 		return nil, err
 	}
-	a := &Acceptor{listener: l, take: take, barriers: barriers}
+	a := &Acceptor{listener: l, onAccept: onAccept, barriers: barriers}
 	for _, b := range barriers {
-		b.pass()
-		a.passing.Go(func() { a.pass(b) })
+		b.wait()
+		a.deliverLoops.Go(func() { a.deliver(b) })
 	}
-	a.accepting.Go(a.accept)
+	a.acceptLoop.Go(a.accept)
 	return a, nil
 }
 
-// Stop closes the listener and returns when take will not be called any more.
-// Call it before the engine is stopped. Further calls do nothing.
-func (a *Acceptor) Stop() { a.stopping.Do(a.stop) }
+// Stop closes the listener and returns once onAccept is no longer called. Call it
+// before stopping the engine. Further calls have no effect.
+func (a *Acceptor) Stop() { a.stopOnce.Do(a.stop) }
 
 func (a *Acceptor) stop() {
 	_ = a.listener.Close()
-	a.accepting.Wait()
+	a.acceptLoop.Wait()
 	for _, b := range a.barriers {
 		close(b.pending)
 	}
-	a.passing.Wait()
+	a.deliverLoops.Wait()
 	closeBarriers(a.barriers)
 }
 
@@ -79,7 +75,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		nbc, err := nbio.NBConn(c)
@@ -91,17 +87,17 @@
 	}
 }
 
-// pass lets the connections of one poller through, all that have come with one
-// passing of the barrier.
-func (a *Acceptor) pass(b *barrier) {
+// deliver calls onAccept for the pending connections of one poller, in batches that
+// share a wait on the barrier.
+func (a *Acceptor) deliver(b *barrier) {
 	for first := range b.pending {
-		batch := b.gather(first)
-		b.pass()
+		batch := b.collectBatch(first)
+		b.wait()
 		for _, c := range batch {
-			a.take(c)
+			a.onAccept(c)
 		}
 	}
 }
 
-// pollerOf returns the poller that the engine gives a connection to.
+// pollerOf returns the index of the poller that the engine assigns to a connection.
 func pollerOf(c *nbio.Conn, pollers int) int { return c.Hash() % pollers }
--- a/httpserver/handover/acceptor_test.go
+++ b/httpserver/handover/acceptor_test.go
@@ -8,9 +8,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// A server is stopped right after its start, with callers connecting. The
-// engine forgets a stop that comes before a poller has begun and would never
-// end; and a connection taken after the stop would never be closed.
+// Guards against an engine that never stops because a poller had not started yet,
+// and against a connection leaked by being accepted after Stop.
 func TestStopRightAfterStart(t *testing.T) {
 	const rounds, callers = 300, 4
 	for round := range rounds {
@@ -26,7 +25,7 @@
 		var stopped atomic.Bool
 		a, err := Start(engine, l, func(c *nbio.Conn) {
 			if stopped.Load() {
-				t.Error("taken after the stop")
+				t.Error("connection accepted after Stop returned")
 			}
 			c.OnData(func(*nbio.Conn, []byte) {})
 			_, _ = engine.AddConn(c)
--- a/httpserver/handover/barrier.go
+++ b/httpserver/handover/barrier.go
@@ -10,46 +10,43 @@
 	"github.com/pkg/errors"
 )
 
-// order makes a probe's making visible to its poller: the engine hands a
-// connection over through the kernel only, which Go's memory model does not
-// count as order.
-var order atomic.Uint64
+// handoverSync makes the initialization of a probe visible to its poller. The engine
+// passes connections through the kernel only, which establishes no happens-before
+// relation in the Go memory model.
+var handoverSync atomic.Uint64
 
-// barrier tells when a poller has done with the events it had fetched.
+// barrier waits until a poller has processed the events it has already fetched. Its
+// probe is a socket pair whose read end is registered with the poller.
 type barrier struct {
-	// far is the end written to; the poller reads the other one.
-	far     net.Conn
-	seen    chan struct{}
-	pending chan *nbio.Conn
+	writeEnd net.Conn
+	// processed receives a value for each byte that the poller reads.
+	processed chan struct{}
+	pending   chan *nbio.Conn
 }
 
-// newBarriers returns one barrier for each poller of the engine.
-//
-// The engine finds the poller of a connection by its descriptor modulo the number
-// of pollers, so probes are opened until every remainder has come up. The near
-// end of a probe that is not needed stays open until the end: the next near end
-// then gets a higher descriptor, and every remainder comes up after a bounded
-// number of probes whatever descriptors are open. The only error is that no
-// more descriptors are to be had.
+// newBarriers returns one barrier for each poller of the engine. The engine assigns
+// a connection by its descriptor modulo the number of pollers, so probes are created
+// until every poller has one. Spare read ends stay open meanwhile, so that each probe
+// gets a new descriptor and the loop terminates.
 func newBarriers(engine *nbio.Engine) ([]*barrier, error) {
 	barriers := make([]*barrier, engine.NPoller)
-	var unused []net.Conn
-	defer func() { closeAll(unused) }()
+	var spareReadEnds []net.Conn
+	defer func() { closeAll(spareReadEnds) }()
 	for missing := engine.NPoller; missing > 0; {
-		near, far, err := probePair()
+		readEnd, writeEnd, err := newProbePair()
 		if err != nil {
 			closeBarriers(barriers)
 			return nil, err
 		}
-		i := pollerOf(near, engine.NPoller)
+		i := pollerOf(readEnd, engine.NPoller)
 		if barriers[i] != nil {
-			_ = far.Close()
-			unused = append(unused, near)
+			_ = writeEnd.Close()
+			spareReadEnds = append(spareReadEnds, readEnd)
 			continue
 		}
-		barriers[i] = newBarrier(far)
+		barriers[i] = newBarrier(writeEnd)
 		missing--
-		if err := barriers[i].watch(engine, near); err != nil {
+		if err := barriers[i].register(engine, readEnd); err != nil {
 			closeBarriers(barriers)
 			return nil, err
 		}
@@ -65,41 +62,35 @@
 	}
 }
 
-func newBarrier(far net.Conn) *barrier {
-	return &barrier{far: far, seen: make(chan struct{}, 1), pending: make(chan *nbio.Conn, maxBatch)}
+func newBarrier(writeEnd net.Conn) *barrier {
+	return &barrier{writeEnd: writeEnd, processed: make(chan struct{}, 1), pending: make(chan *nbio.Conn, maxBatch)}
 }
 
-// watch gives the probe's near end to its poller.
-func (b *barrier) watch(engine *nbio.Engine, near *nbio.Conn) error {
-	near.OnData(func(*nbio.Conn, []byte) {
-		order.Load()
-		b.seen <- struct{}{}
+// register adds the probe's read end to its poller.
+func (b *barrier) register(engine *nbio.Engine, readEnd *nbio.Conn) error {
+	readEnd.OnData(func(*nbio.Conn, []byte) {
+		handoverSync.Load()
+		b.processed <- struct{}{}
 	})
-	order.Add(1)
-	_, err := engine.AddConn(near)
-	return errors.Wrap(err, "handover: watch a probe")
+	handoverSync.Add(1)
+	_, err := engine.AddConn(readEnd)
+	return errors.Wrap(err, "handover: register probe with poller")
 }
 
-// pass returns when the poller has done with all events that it had fetched
-// before the call.
-//
-// The guard against events of earlier connections rests on it: a descriptor
-// becomes free when its connection is closed, and nothing is fetched for it
-// from then on, so that what may still be pending when a new connection has the
-// descriptor was fetched before. The first byte may be read within the batch
-// that is under way, if the probe has an event there; it reads one byte, and
-// the second one is written after, so that it is read in a later batch.
-func (b *barrier) pass() {
+// wait returns when the poller has processed all events that it fetched before the
+// call. It writes two bytes, one after the other: the poller may read the first one
+// within the current batch, but reads the second one in a later batch.
+func (b *barrier) wait() {
 	for range 2 {
-		if _, err := b.far.Write([]byte{0}); err != nil {
+		if _, err := b.writeEnd.Write([]byte{0}); err != nil {
 			return
 		}
-		<-b.seen
+		<-b.processed
 	}
 }
 
-// gather returns a connection and those that wait behind it.
-func (b *barrier) gather(first *nbio.Conn) []*nbio.Conn {
+// collectBatch returns first and the connections pending after it, up to maxBatch.
+func (b *barrier) collectBatch(first *nbio.Conn) []*nbio.Conn {
 	batch := []*nbio.Conn{first}
 	for len(batch) < maxBatch {
 		select {
@@ -115,14 +106,15 @@
 	return batch
 }
 
-// close ends the probe; its poller closes the other end.
-func (b *barrier) close() { _ = b.far.Close() }
+// close closes the write end; the poller then closes the read end.
+func (b *barrier) close() { _ = b.writeEnd.Close() }
 
-// probePair returns two connected ends, the near one for an engine.
-func probePair() (near *nbio.Conn, far net.Conn, err error) {
+// newProbePair returns a connected socket pair whose read end can be added to an
+// engine.
+func newProbePair() (readEnd *nbio.Conn, writeEnd net.Conn, err error) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "handover: open a probe")
+		return nil, nil, errors.Wrap(err, "handover: create probe socket pair")
 	}
 	ends := make([]net.Conn, 0, len(fds))
 	for _, fd := range fds {
@@ -131,16 +123,16 @@
 		_ = file.Close()
 		if err != nil {
 			closeAll(ends)
-			return nil, nil, errors.Wrap(err, "handover: open a probe")
+			return nil, nil, errors.Wrap(err, "handover: create probe socket pair")
 		}
 		ends = append(ends, end)
 	}
-	near, err = nbio.NBConn(ends[0])
+	readEnd, err = nbio.NBConn(ends[0])
 	if err != nil {
 		closeAll(ends)
-		return nil, nil, errors.Wrap(err, "handover: open a probe")
+		return nil, nil, errors.Wrap(err, "handover: create probe socket pair")
 	}
-	return near, ends[1], nil
+	return readEnd, ends[1], nil
 }
 
 func closeAll(conns []net.Conn) {
--- a/httpserver/handover/pollers_test.go
+++ b/httpserver/handover/pollers_test.go
@@ -10,14 +10,12 @@
 	"github.com/lesismal/nbio"
 )
 
-// A node does not start: it ends with "a poller has no probe" on every machine
-// with an even number of processors. Each probe was opened two descriptors after
-// the last one, so that half of the pollers were never met. Here engines of many
-// sizes start with various descriptors open, and each poller gets connections.
+// Every poller must get a probe, whatever the number of pollers and the pattern of
+// open descriptors.
 func TestStartsWithAnyNumberOfPollers(t *testing.T) {
 	for _, pollers := range []int{1, 2, 3, 4, 8, 64} {
 		for _, stride := range []int{1, 2, 3} {
-			t.Run(fmt.Sprintf("%d pollers, every %dth descriptor open", pollers, stride), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d pollers, one of %d descriptors free", pollers, stride), func(t *testing.T) {
 				holdDescriptors(t, 3*pollers, stride)
 				startAndStop(t, pollers)
 			})
@@ -25,7 +23,7 @@
 	}
 }
 
-// holdDescriptors leaves all but every stride-th of n descriptors open.
+// holdDescriptors opens n descriptors and closes every stride-th of them.
 func holdDescriptors(t *testing.T, n, stride int) {
 	t.Helper()
 	for i := range n {
@@ -56,7 +54,7 @@
 		t.Fatal(err)
 	}
 	if len(a.barriers) != pollers {
-		t.Errorf("%d barriers for %d pollers", len(a.barriers), pollers)
+		t.Errorf("got %d barriers, want one for each of %d pollers", len(a.barriers), pollers)
 	}
 	a.Stop()
 	engine.Stop()
@@ -68,10 +66,9 @@
 	return engine
 }
 
-// A node starts on a VM that has no descriptors left. It used to spin at a full
-// core and outlive SIGTERM: the engine was stopped before its pollers had begun
-// and forgot the stop. The start must end with an error, at once.
-func TestStartWithoutDescriptorsEnds(t *testing.T) {
+// Without free descriptors, Start must return an error and leave the engine alone:
+// stopping it before its pollers run would make them spin forever.
+func TestStartFailsWithoutDescriptors(t *testing.T) {
 	engine := newEngine(4)
 	if err := engine.Start(); err != nil {
 		t.Fatal(err)
@@ -94,6 +91,6 @@
 		t.Fatal(err)
 	}
 	if err == nil {
-		t.Fatal("started without descriptors")
+		t.Fatal("Start succeeded without free descriptors")
 	}
 }
--- a/httpserver/library_log.go
+++ b/httpserver/library_log.go
@@ -8,12 +8,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// callerGone begins the library's message about a caller that closed before
-// its answer. That is the caller's right and no error of the node.
-const callerGone = "Response.Flush:"
+// clientClosedPrefix starts the message that nbio logs when a client disconnects
+// before its response is written. This is not a server error.
+const clientClosedPrefix = "Response.Flush:"
 
-// libraryLog writes nbio's log lines to the program's log; the library's own
-// go to the standard output.
+// libraryLog redirects nbio's log output, by default standard output, to the
+// program's logger.
 type libraryLog struct{ log *logrus.Logger }
 
 var _ logging.Logger = libraryLog{}
@@ -21,7 +21,8 @@
 // Debug implements logging.Logger.
 func (l libraryLog) Debug(format string, v ...any) { l.log.Debugf("httpserver: nbio: "+format, v...) }
 
-// Info implements logging.Logger: starts and stops are the program's to tell.
+// Info implements logging.Logger. It logs at debug level because the program
+// reports its own starts and stops.
 func (l libraryLog) Info(format string, v ...any) { l.log.Debugf("httpserver: nbio: "+format, v...) }
 
 // Warn implements logging.Logger.
@@ -29,7 +30,7 @@
 
 // Error implements logging.Logger.
 func (l libraryLog) Error(format string, v ...any) {
-	if strings.HasPrefix(format, callerGone) {
+	if strings.HasPrefix(format, clientClosedPrefix) {
 		l.Debug(format, v...)
 		return
 	}
@@ -38,15 +39,15 @@
 
 var logOnce sync.Once
 
-// UseLog sends nbio's log lines to a logger. The library has one logger for the
-// process and reads it without a lock: call UseLog once, before the first
-// server starts. Later calls do nothing, nor does one after QuietLibraryLogs.
+// UseLog sends nbio's log output to log. nbio has one logger per process and reads
+// it without synchronization, so call UseLog before the first server starts. Only
+// the first call of UseLog or QuietLibraryLogs has an effect.
 func UseLog(log *logrus.Logger) {
 	logOnce.Do(func() { logging.SetLogger(libraryLog{log: log}) })
 }
 
-// QuietLibraryLogs keeps all but errors out of the library's own output, for
-// tests and parts that have no logger. It does nothing after UseLog.
+// QuietLibraryLogs limits nbio's own log output to errors, for tests and packages
+// that have no logger. It has no effect after UseLog.
 func QuietLibraryLogs() {
 	logOnce.Do(func() { logging.SetLevel(logging.LevelError) })
 }
--- a/httpserver/race_test.go
+++ b/httpserver/race_test.go
@@ -8,15 +8,9 @@
 	"testing"
 )
 
-// Callers open a connection for each request. One of them gets no answer, and
-// its request was never read: its connection was closed in place of an earlier
-// one that had the same descriptor.
-//
-// A caller opens a connection and its request is served at once. The library
-// hands the connection from the goroutine that accepts to the one that reads
-// through the kernel only, so that the race detector, and the memory model,
-// see the caller's address read without order after it was written.
-func TestConnectionIsHandedOverInOrder(t *testing.T) {
+// Guards against a new connection being closed by a stale event for a reused
+// descriptor, and against a data race on the remote address of a new connection.
+func TestConnectionHandoverHasNoRace(t *testing.T) {
 	const callers, connections = 8, 1000
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.RemoteAddr) })
 	s, err := Start(Options{Address: "127.0.0.1:0", Handler: handler, MaxBodyBytes: 1024})
--- a/httpserver/scrape/scrape.go
+++ b/httpserver/scrape/scrape.go
@@ -1,4 +1,5 @@
-// Package scrape makes a root scope of metrics and the page that shows them.
+// Package scrape creates a root metrics scope and the HTTP handler that exposes it
+// to Prometheus.
 package scrape
 
 import (
@@ -11,18 +12,18 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// Prefix starts the name of every metric.
+// Prefix is prepended to the name of every metric.
 const Prefix = "yuccaroute"
 
-// Metrics is a root scope and its scrape page.
+// Metrics holds a root scope and the handler that serves its metrics.
 type Metrics struct {
 	Scope  tally.Scope
 	Closer io.Closer
 	Page   http.Handler
 }
 
-// New makes a scope whose values the page shows in the Prometheus text format,
-// brought up to date every interval. The VM's name is a tag of all of them.
+// New returns a scope that is reported every interval and served in the Prometheus
+// text format. Every metric is tagged with the VM name.
 func New(vm string, interval time.Duration) *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
--- a/httpserver/server.go
+++ b/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver starts an HTTP server on nbio's nbhttp engine. nbhttp
-// hands a request to its handler once the body is whole, so the body limit here
-// bounds the memory of one request.
+// Package httpserver runs an HTTP server on nbio's nbhttp engine. nbhttp buffers
+// the whole body before it calls the handler, so the body limit bounds the memory
+// used by a request.
 package httpserver
 
 import (
@@ -17,13 +17,13 @@
 	"github.com/yuccaroute/yuccaroute/httpserver/handover"
 )
 
-// headerAllowanceBytes is what a request's head may add to its body in the
-// read buffer of a connection.
+// headerAllowanceBytes is the space for request headers in a connection's read
+// buffer, in addition to the body limit.
 const headerAllowanceBytes = 64 << 10
 
 // Options configure one server.
 type Options struct {
-	// Address is ip:port; port 0 takes a free one.
+	// Address is ip:port; port 0 selects a free port.
 	Address string
 	Handler http.Handler
 	// MaxBodyBytes bounds the body of one request.
@@ -38,12 +38,11 @@
 	acceptor *handover.Acceptor
 	address  net.Addr
 	tls      *tls.Config
-	// opened counts connections; see orderHandover.
+	// opened counts connections; see synchronizeHandover.
 	opened atomic.Uint64
 }
 
-// Start listens and serves until Stop. It returns an error if the address
-// cannot be bound.
+// Start listens on the configured address and serves requests until Stop is called.
 func Start(o Options) (*Server, error) {
 	l, err := net.Listen("tcp", o.Address)
 	if err != nil {
@@ -55,23 +54,23 @@
 		MaxHTTPBodySize: o.MaxBodyBytes,
 		ReadLimit:       o.MaxBodyBytes + headerAllowanceBytes,
 		OnRequest:       LetClientClose,
-		// Without it the library keeps a queue of 0.5 MB for clients.
+		// Avoids allocating the queue of nbhttp's client side.
 		SupportServerOnly: true,
 	})
-	s.orderHandover()
+	s.synchronizeHandover()
 	if err := s.engine.Start(); err != nil {
 		_ = l.Close()
 		return nil, errors.Wrap(err, "start the server")
 	}
-	if s.acceptor, err = handover.Start(s.engine.Engine, l, s.take); err != nil {
+	if s.acceptor, err = handover.Start(s.engine.Engine, l, s.addConn); err != nil {
 		_ = l.Close()
 		return nil, errors.Wrap(err, "start the server")
 	}
 	return s, nil
 }
 
-// take gives a new connection to the engine.
-func (s *Server) take(c *nbio.Conn) {
+// addConn adds an accepted connection to the engine.
+func (s *Server) addConn(c *nbio.Conn) {
 	conn := &nbhttp.Conn{Conn: c}
 	if s.tls == nil {
 		s.engine.AddConnNonTLSNonBlocking(conn, nil, func() {})
@@ -80,14 +79,10 @@
 	s.engine.AddConnTLSNonBlocking(conn, s.tls, func() {})
 }
 
-// LetClientClose lets the caller close a connection that it asked to be closed.
-// It is an nbhttp OnRequest hook.
-//
-// Guard against a race of the library: when the server closes a connection
-// from a handler, an event that its reading goroutine has fetched already can
-// be taken for one of the next connection, which got the same descriptor, and
-// closes that one before its request is read. A connection whose caller closes
-// it is closed by the reading goroutine itself, after all its events.
+// LetClientClose is an nbhttp OnRequest hook that leaves closing to the client when
+// an HTTP/1.1 request asks for "Connection: close". If a handler closed the
+// connection, the poller could apply an already fetched event to a new connection
+// that reuses the descriptor.
 func LetClientClose(w http.ResponseWriter, r *http.Request) {
 	if r.Close && r.ProtoAtLeast(1, 1) {
 		r.Close = false
@@ -95,15 +90,11 @@
 	}
 }
 
-// orderHandover makes everything written while a connection was accepted
-// visible to the goroutine that reads from it.
-//
-// Guard against a data race of the library: it hands a connection from the
-// accepting goroutine to the reading one through epoll only, which the memory
-// model does not count as order. The reader could see a half-written caller's
-// address. The counter is raised before the connection is watched and read
-// before its data is handled, which is such an order.
-func (s *Server) orderHandover() {
+// synchronizeHandover makes writes made while a connection was accepted visible to
+// the goroutine that reads from it. nbio passes connections between the two through
+// epoll only, which establishes no happens-before relation in the Go memory model;
+// the atomic counter does.
+func (s *Server) synchronizeHandover() {
 	s.engine.Engine.OnOpen(func(*nbio.Conn) { s.opened.Add(1) })
 	s.engine.Engine.OnData(func(c *nbio.Conn, data []byte) {
 		_ = s.opened.Load()
@@ -111,11 +102,11 @@
 	})
 }
 
-// Address returns the ip:port in use.
+// Address returns the ip:port that the server listens on.
 func (s *Server) Address() string { return s.address.String() }
 
-// Stop closes the listener and all connections. Work in hand must have ended
-// before, since its answers are lost.
+// Stop closes the listener and all connections. Responses to requests still in
+// progress are lost, so drain them first.
 func (s *Server) Stop(ctx context.Context) error {
 	s.acceptor.Stop()
 	return s.engine.Shutdown(ctx)
--- a/httpserver/server_test.go
+++ b/httpserver/server_test.go
@@ -8,8 +8,7 @@
 	"testing"
 )
 
-// A caller uploads more than the limit. Without a limit the node would hold the
-// whole body in memory before any handler could refuse it.
+// An oversized body must be rejected before it is buffered in memory.
 func TestBodyOverLimitNeverReachesHandler(t *testing.T) {
 	const limit = 1024
 	reached := make(chan int, 2)
