--- a/api/clock/boot_other.go
+++ b/api/clock/boot_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// sinceBoot tells nothing: no suspension is ever seen.
+// sinceBoot always returns zero, so no suspension is detected.
 func sinceBoot() time.Duration { return 0 }
--- a/api/clock/clock.go
+++ b/api/clock/clock.go
@@ -1,10 +1,6 @@
-// Package clock reads a monotonic clock that goes on while the machine is
-// suspended.
-//
-// The clock behind time.Now stands still then. A VM that is suspended with a
-// surplus in force, and resumed when the surplus has long been given to others,
-// would go on using it until its own clock shows the expiry: in sum more than
-// the place carries would be sent.
+// Package clock provides a monotonic clock that advances while the machine is
+// suspended, unlike that of time.Now. Without it a VM would continue to use a surplus
+// that expired during a suspension and was granted to other VMs.
 package clock
 
 import (
@@ -12,48 +8,47 @@
 	"time"
 )
 
-// Clock reads the time. Its methods may be called at the same time.
+// Clock reads the time. It is safe for concurrent use.
 type Clock struct {
-	// steady stands still during a suspension, boot does not.
-	steady func() time.Time
-	boot   func() time.Duration
+	// monotonic stops during a suspension, boot does not.
+	monotonic func() time.Time
+	boot      func() time.Duration
 
 	started     time.Time
 	bootStarted time.Duration
 	suspended   atomic.Int64
 }
 
-// New returns the clock of this machine. On systems that do not tell how long
-// they were suspended it reads as time.Now.
+// New returns the clock of this machine. On systems that do not report suspensions it
+// behaves like time.Now.
 func New() *Clock { return newClock(time.Now, sinceBoot) }
 
-// newClock reads the boot clock after the other one, Now before it: so what Now
-// takes for a suspension is never more than there was, and a delay between two
-// readings is not taken for one.
-func newClock(steady func() time.Time, boot func() time.Duration) *Clock {
-	c := &Clock{steady: steady, boot: boot, started: steady()}
+// newClock reads the boot clock last and Now reads it first, so that a delay between
+// the two readings is never mistaken for a suspension.
+func newClock(monotonic func() time.Time, boot func() time.Duration) *Clock {
+	c := &Clock{monotonic: monotonic, boot: boot, started: monotonic()}
 	c.bootStarted = boot()
 	return c
 }
 
-// Now returns the time, with a monotonic reading that counts suspensions since
-// New. A suspension that falls between the two readings of one call is seen by
-// the next call.
+// Now returns the time, with a monotonic reading that includes suspensions since New.
+// A suspension between the two clock readings of a call is included by the next call.
 func (c *Clock) Now() time.Time {
 	boot := c.boot() - c.bootStarted
-	now := c.steady()
-	return now.Add(c.note(boot - now.Sub(c.started)))
+	now := c.monotonic()
+	return now.Add(c.recordSuspension(boot - now.Sub(c.started)))
 }
 
-// note raises the known time of suspension and returns it.
-func (c *Clock) note(seen time.Duration) time.Duration {
+// recordSuspension raises the total suspension time to measured if that is longer, and
+// returns the total.
+func (c *Clock) recordSuspension(measured time.Duration) time.Duration {
 	for {
 		known := c.suspended.Load()
-		if int64(seen) <= known {
+		if int64(measured) <= known {
 			return time.Duration(known)
 		}
-		if c.suspended.CompareAndSwap(known, int64(seen)) {
-			return seen
+		if c.suspended.CompareAndSwap(known, int64(measured)) {
+			return measured
 		}
 	}
 }
--- a/api/clock/clock_test.go
+++ b/api/clock/clock_test.go
@@ -5,55 +5,54 @@
 	"time"
 )
 
-// fakeMachine can be suspended: its steady clock stands still meanwhile. late
-// passes between any two readings.
+// fakeMachine simulates a machine that can be suspended. readDelay elapses before each
+// clock reading.
 type fakeMachine struct {
-	began         time.Time
-	running, away time.Duration
-	late          time.Duration
+	start              time.Time
+	running, suspended time.Duration
+	readDelay          time.Duration
 }
 
-func (m *fakeMachine) steady() time.Time {
-	m.running += m.late
-	return m.began.Add(m.running)
+func (m *fakeMachine) monotonic() time.Time {
+	m.running += m.readDelay
+	return m.start.Add(m.running)
 }
 
 func (m *fakeMachine) boot() time.Duration {
-	m.running += m.late
-	return m.running + m.away
+	m.running += m.readDelay
+	return m.running + m.suspended
 }
 
-// A VM is suspended for an hour with a surplus of 15 s and resumed. Its clock
-// must show the expiry at the first reading, before any timer has run.
+// A deadline that passes during a suspension must have expired at the first reading
+// after the machine resumes.
 func TestSuspensionIsCounted(t *testing.T) {
-	m := &fakeMachine{began: time.Now()}
-	c := newClock(m.steady, m.boot)
+	m := &fakeMachine{start: time.Now()}
+	c := newClock(m.monotonic, m.boot)
 	expires := c.Now().Add(15 * time.Second)
 	m.running += time.Second
 	if !c.Now().Before(expires) {
 		t.Fatal("expired while the machine was running")
 	}
-	m.away = time.Hour
+	m.suspended = time.Hour
 	if c.Now().Before(expires) {
 		t.Fatal("not expired after the suspension")
 	}
 	if got := c.Now().Sub(expires.Add(-15 * time.Second)); got != time.Hour+time.Second {
-		t.Fatalf("%s passed", got)
+		t.Fatalf("elapsed time is %s, want suspension included", got)
 	}
 }
 
-// A busy machine lets time pass between two readings. That is no suspension:
-// the clock would run ahead of that of the other nodes, and surplus would end
-// early. Nor may it go back.
+// A delay between the two clock readings must not count as a suspension, which would
+// make the clock run fast, and the clock must never go back.
 func TestDelayBetweenReadingsIsNoSuspension(t *testing.T) {
-	m := &fakeMachine{began: time.Now(), late: 40 * time.Millisecond}
-	c := newClock(m.steady, m.boot)
+	m := &fakeMachine{start: time.Now(), readDelay: 40 * time.Millisecond}
+	c := newClock(m.monotonic, m.boot)
 	last := c.Now()
 	for i := range 100 {
-		m.late = time.Duration(i%7) * 10 * time.Millisecond
+		m.readDelay = time.Duration(i%7) * 10 * time.Millisecond
 		now := c.Now()
-		if now.Before(last) || now.Sub(m.began) > m.running {
-			t.Fatalf("read %s after %s, %s passed", now.Sub(m.began), last.Sub(m.began), m.running)
+		if now.Before(last) || now.Sub(m.start) > m.running {
+			t.Fatalf("clock read %s after %s, actual elapsed time %s", now.Sub(m.start), last.Sub(m.start), m.running)
 		}
 		last = now
 	}
--- a/api/retrybudget/budget.go
+++ b/api/retrybudget/budget.go
@@ -1,47 +1,42 @@
-// Package retrybudget holds retries to a share of the fresh requests.
+// Package retrybudget limits retries to a fraction of the first attempts.
 package retrybudget
 
 import "sync"
 
-// Budget pays retries from what fresh requests put in. It is safe for use by
-// several goroutines.
-//
-// Guard against retries pushing a failing place over: when every request
-// fails, each would otherwise be sent as often as attempts are permitted, and
-// the load would grow just when capacity is short. As retries are paid from
-// what fresh requests put in, their sum cannot pass the share.
+// Budget is a token bucket that is filled by first attempts and drained by retries,
+// so that retries cannot multiply the load on failing targets. It is safe for
+// concurrent use.
 type Budget struct {
-	mu    sync.Mutex
-	most  float64
-	saved float64
+	mu         sync.Mutex
+	maxBalance float64
+	balance    float64
 }
 
-// New returns a budget with some retries in hand, at the start and at most.
-// The bound keeps a quiet hour from saving up an hour's worth of retries for a
-// place that fails.
-func New(start, most float64) *Budget {
-	return &Budget{most: most, saved: start}
+// New returns a budget with an initial and a maximum balance of retries. The maximum
+// limits the burst of retries after a period with few failures.
+func New(balance, maxBalance float64) *Budget {
+	return &Budget{maxBalance: maxBalance, balance: balance}
 }
 
-// Deposit pays in for one fresh request: the share of a retry that it earns.
+// Deposit adds the fraction of a retry that one first attempt earns.
 func (b *Budget) Deposit(share float64) { b.add(share) }
 
-// Take spends one retry and reports whether there was one.
+// Take withdraws one retry and reports whether the balance covered it.
 func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.saved < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.saved--
+	b.balance--
 	return true
 }
 
-// Refund returns a retry that was taken and not made.
+// Refund returns a retry that was taken but not sent.
 func (b *Budget) Refund() { b.add(1) }
 
 func (b *Budget) add(retries float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.saved = min(b.most, b.saved+retries)
+	b.balance = min(b.maxBalance, b.balance+retries)
 }
--- a/api/retrybudget/budget_test.go
+++ b/api/retrybudget/budget_test.go
@@ -2,27 +2,26 @@
 
 import "testing"
 
-// A target fails all that it gets. Its callers see it loaded with the fresh
-// requests and a share of them again, not with several times the load, however
-// long it was quiet before.
-func TestRetriesStayWithinTheShare(t *testing.T) {
-	const start, most, share, fresh = 1, 20, 0.25, 1000
-	b := New(start, most)
-	for range 10 * most {
+// When every request fails, retries must not exceed the configured fraction of first
+// attempts plus the maximum balance.
+func TestRetriesStayWithinBudget(t *testing.T) {
+	const balance, maxBalance, share, requests = 1, 20, 0.25, 1000
+	b := New(balance, maxBalance)
+	for range 10 * maxBalance {
 		b.Deposit(1)
 	}
 	retries := 0
-	for range fresh {
+	for range requests {
 		b.Deposit(share)
 		for b.Take() {
 			retries++
 		}
 	}
-	if want := most + int(share*fresh) - 1; retries < want || retries > most+int(share*fresh) {
-		t.Errorf("%d retries for %d requests, want %d", retries, fresh, want)
+	if want := maxBalance + int(share*requests) - 1; retries < want || retries > maxBalance+int(share*requests) {
+		t.Errorf("got %d retries for %d requests, want %d", retries, requests, want)
 	}
 	b.Refund()
 	if !b.Take() || b.Take() {
-		t.Error("a retry that was given back is not there once")
+		t.Error("a refunded retry must be available exactly once")
 	}
 }
