--- a/httpserver/handover/acceptor_test.go
+++ b/httpserver/handover/acceptor_test.go
@@ -11,7 +11,7 @@
 // Guards against an engine that never stops because a poller had not started yet,
 // and against a connection leaked by being accepted after Stop.
 func TestStopRightAfterStart(t *testing.T) {
-	const rounds, callers = 300, 4
+	const rounds, clients = 300, 4
 	for round := range rounds {
 		engine := nbio.NewEngine(nbio.Config{Name: "test", NPoller: 3})
 		engine.OnData(func(c *nbio.Conn, data []byte) { c.DataHandler()(c, data) })
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for range round % 2 * callers {
+		for range round % 2 * clients {
 			c, err := net.Dial("tcp", l.Addr().String())
 			if err != nil {
 				t.Fatal(err)
--- a/httpserver/race_test.go
+++ b/httpserver/race_test.go
@@ -11,7 +11,7 @@
 // Guards against a new connection being closed by a stale event for a reused
 // descriptor, and against a data race on the remote address of a new connection.
 func TestConnectionHandoverHasNoRace(t *testing.T) {
-	const callers, connections = 8, 1000
+	const clients, connections = 8, 1000
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, r.RemoteAddr) })
 	s, err := Start(Options{Address: "127.0.0.1:0", Handler: handler, MaxBodyBytes: 1024})
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	defer s.Stop(context.Background())
 	var all sync.WaitGroup
-	for range callers {
+	for range clients {
 		all.Go(func() {
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for range connections {
