--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -65,7 +65,7 @@
 	peer        *serve.Server
 	servers     []*serve.Server
 	leaving     atomic.Bool
-	digests     *peers.Digests
+	digests     *peers.DigestMonitor
 	regionState *regionState
 	stop        context.CancelFunc
 	// unlist ends the registration.
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &Entry{options: o, log: o.Logger, stop: cancel}
 	now := time.Now()
-	e.digests = peers.NewDigests(now)
+	e.digests = peers.NewDigestMonitor(now)
 	e.regionState = &regionState{log: e.part("entry")}
 	e.delays = newDelays(o.VM.Region)
 	e.members = peers.New(o.VM, now)
@@ -86,10 +86,10 @@
 	e.counts = newCounts(e.metrics.Scope)
 	e.owners = owners.New(o.VM)
 	e.balancer = placing.New(placing.Options{
-		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, Delay: e.delays.get,
+		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, RTT: e.delays.get,
 	})
 	e.quarantine = quarantine.New(quarantine.Options{
-		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.part("quarantine"), Told: e.urgent,
+		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.part("quarantine"), EventAdded: e.urgent,
 	})
 	e.gateway = gateway.New(gateway.Options{
 		Fields: o.Names.Fields, Balancer: e.balancer, Logger: e.part("gateway"), Metrics: e.counts,
@@ -99,9 +99,9 @@
 	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.part("catalog"), Changed: e.setView, Now: time.Now})
 	e.replica = replica.New(replica.Options{
 		KV: o.KV, Logger: e.part("replica"), Prefix: o.Names.WatchPrefix, Changed: e.apply, FetchFrom: fetchSnapshot,
-		Watches: func() bool { return e.members.Watches(time.Now()) },
-		Leads:   func() bool { return e.members.WatchesAlone(time.Now()) },
-		First:   func() bool { return e.members.WatchesFirst(time.Now()) },
+		Watches: func() bool { return e.members.ShouldWatch(time.Now()) },
+		Leads:   func() bool { return e.members.IsWatchLeader(time.Now()) },
+		First:   func() bool { return e.members.IsDefaultWatcher(time.Now()) },
 	})
 	e.snapshots = &snapshots{replica: e.replica, log: e.part("replica")}
 	if err := e.listen(ctx); err != nil {
@@ -124,14 +124,14 @@
 // changed tells the other VMs soon.
 func (e *Entry) changed() {
 	if e.talk != nil {
-		e.talk.Changed()
+		e.talk.RequestReport()
 	}
 }
 
 // urgent tells the VMs of all regions soon.
 func (e *Entry) urgent() {
 	if e.talk != nil {
-		e.talk.Urgent()
+		e.talk.RequestUrgentReport()
 	}
 }
 
@@ -244,17 +244,17 @@
 
 // tellVMs tells the board among which VMs work is divided.
 func (e *Entry) tellVMs(now time.Time) {
-	names := e.members.Sharers(now)
+	names := e.members.WorkSharers(now)
 	e.regionState.setSharers(names)
 	e.balancer.SetVMs(names)
-	if live, known := e.members.DomainLive(now); known && !e.leaving.Load() {
+	if live, known := e.members.LiveInDomain(now); known && !e.leaving.Load() {
 		e.owners.SetVMs(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
 	}
-	e.balancer.SetKeyDivision(e.owners.EffectiveVMs())
+	e.balancer.SetKeyOwnerCount(e.owners.EffectiveVMs())
 }
 
 // busy returns the requests of callers and other VMs whose answers are not wholly given.
-func (e *Entry) busy() int { return e.front.Busy() + e.peer.Busy() }
+func (e *Entry) busy() int { return e.front.InFlight() + e.peer.InFlight() }
 
 // serving reports whether callers may be sent here.
 func (e *Entry) serving() bool { return e.gateway.Ready() && !e.leaving.Load() }
@@ -278,7 +278,7 @@
 		last = now
 		e.catalog.Expire(now)
 		e.tellVMs(now)
-		e.quarantine.Tick(ctx, now, e.members.WatchesAlone(now))
+		e.quarantine.Tick(ctx, now, e.members.IsWatchLeader(now))
 		e.counts.setQuarantine(e.quarantine.Counts())
 		e.gateway.Probe(ctx, e.healthPath)
 	}
@@ -291,15 +291,15 @@
 	return "/"
 }
 
-// Leave is a planned stop: callers are sent elsewhere, the requests in flight end,
+// Shutdown is a planned stop: callers are sent elsewhere, the requests in flight end,
 // and the VM is off the list. It returns when the process may exit.
-func (e *Entry) Leave() {
+func (e *Entry) Shutdown() {
 	began := time.Now()
 	e.leaving.Store(true)
 	e.part("entry").WithField("busy", e.busy()).Info("entry: leaving")
 	e.talk.Flush()
 	e.unlist()
-	e.front.Part()
+	e.front.DisableKeepAlives()
 	time.Sleep(stopTaking)
 	e.gateway.Leave()
 	e.front.StopListening()
--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -41,7 +41,7 @@
 // HandleDelegated implements serve.Handler for requests that other VMs delegate. It declines
 // a request that was matched with another version of the configuration: callers of one VM
 // would otherwise see it alternate between versions, depending on the owner.
-func (g *Gateway) HandleDelegated(ctx context.Context, in *serve.Request) *serve.Answer {
+func (g *Gateway) HandleDelegated(ctx context.Context, in *serve.Request) *serve.Response {
 	version, err := strconv.ParseUint(in.Header.Get(fieldVersion), 10, 64)
 	table := g.table.Load()
 	if err != nil || table == nil || table.Version != version || g.leaving.Load() {
@@ -59,8 +59,8 @@
 	return a
 }
 
-func declinedAnswer() *serve.Answer {
-	a := serve.Plain(http.StatusServiceUnavailable, "")
+func declinedAnswer() *serve.Response {
+	a := serve.PlainText(http.StatusServiceUnavailable, "")
 	a.Header[fieldDeclined] = []string{"1"}
 	return a
 }
--- a/edge/gateway/delegate_test.go
+++ b/edge/gateway/delegate_test.go
@@ -200,7 +200,7 @@
 		_, _ = io.Copy(io.Discard, c)
 	}))
 	key := entry.peerKey(t)
-	answers := make(chan *serve.Answer, 1)
+	answers := make(chan *serve.Response, 1)
 	go func() {
 		answers <- entry.Handle(context.Background(), entry.keyedRequest("GET", "/safe/x", "7", key, time.Minute, ""))
 	}()
--- a/edge/gateway/ended.go
+++ b/edge/gateway/ended.go
@@ -97,7 +97,7 @@
 	now := time.Now()
 	for _, l := range lost {
 		// 0 means no target.
-		g.options.Quarantine.Ended(now, l.fingerprint, placing.HashOf(key)|1)
+		g.options.Quarantine.TargetCrashed(now, l.fingerprint, placing.HashOf(key)|1)
 	}
 }
 
--- a/edge/gateway/fixture_test.go
+++ b/edge/gateway/fixture_test.go
@@ -152,7 +152,7 @@
 	l.SetOutput(f)
 	l.SetFormatter(&logrus.JSONFormatter{})
 	delay := func(string) time.Duration { return time.Millisecond }
-	balancer := placing.New(placing.Options{VM: "vm", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"}, Delay: delay})
+	balancer := placing.New(placing.Options{VM: "vm", Zone: "z", Region: "r", RegionOf: map[string]string{"z": "r"}, RTT: delay})
 	f.Gateway = New(Options{
 		Fields: fields, Balancer: balancer, Logger: logrus.NewEntry(l), Metrics: noMetrics{}, RetryRatio: 0.2, RetryExtra: 50,
 		VMCount: func() int { return 1 }, RTT: delay, InFlightChanged: func() {}, MaxAnswerBytes: 1 << 20,
@@ -178,7 +178,7 @@
 		})
 	}
 	for _, s := range targets {
-		v.Targets = append(v.Targets, catalog.Entry{Target: site.Target{
+		v.Targets = append(v.Targets, catalog.Target{Target: site.Target{
 			ID: s.id, Service: "s", Address: s.address(), Zone: "z", Slots: 4, Draining: draining,
 		}})
 	}
@@ -188,7 +188,7 @@
 // drain marks a target as draining.
 func (f *fixture) drain(s *target) { f.setTargets(true, s) }
 
-func (f *fixture) ask(ctx context.Context, method, path, id string, deadline time.Duration, body string) *serve.Answer {
+func (f *fixture) ask(ctx context.Context, method, path, id string, deadline time.Duration, body string) *serve.Response {
 	return f.Handle(ctx, &serve.Request{
 		Method: method, Target: path, Path: path, Host: "h:80", Body: []byte(body), Arrived: time.Now(),
 		Header: http.Header{"X-Id": {id}, "X-Deadline": {fmt.Sprint(deadline.Milliseconds())}},
--- a/edge/gateway/probe.go
+++ b/edge/gateway/probe.go
@@ -16,14 +16,14 @@
 
 // Probe checks the health of the targets that are due for a probe and readmits healthy ones.
 func (g *Gateway) Probe(ctx context.Context, healthPath func(service string) string) {
-	for _, t := range g.options.Balancer.Suspects(time.Now()) {
+	for _, t := range g.options.Balancer.DueProbes(time.Now()) {
 		go g.probe(ctx, t, healthPath(t.Service))
 	}
 }
 
 func (g *Gateway) probe(ctx context.Context, t *placing.Target, path string) {
 	healthy, coldRemaining, err := g.checkHealth(ctx, t, path)
-	g.options.Balancer.Probed(time.Now(), t, healthy, coldRemaining)
+	g.options.Balancer.RecordProbe(time.Now(), t, healthy, coldRemaining)
 	g.options.Logger.WithError(err).WithField("target", t.ID).WithField("well", healthy).
 		WithField("cold_ms", coldRemaining.Milliseconds()).Info("gateway: target probed")
 }
--- a/edge/gateway/quarantine.go
+++ b/edge/gateway/quarantine.go
@@ -23,7 +23,7 @@
 func (g *Gateway) admit(ctx context.Context, r *request) (outcome, bool) {
 	v := g.verdict(r)
 	switch {
-	case v.Status == quarantine.TrialDue && g.options.Quarantine.Claim(ctx, time.Now(), g.fingerprint(r)):
+	case v.Status == quarantine.TrialDue && g.options.Quarantine.ClaimTrial(ctx, time.Now(), g.fingerprint(r)):
 		r.onTrial = true
 		return outcome{}, true
 	case isBlocked(v):
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -81,7 +81,7 @@
 func (g *Gateway) place(ctx context.Context, r *request) (placing.Decision, outcome) {
 	began := time.Now()
 	d, w := g.options.Balancer.Place(began, &r.placement)
-	r.placement.Again = true
+	r.placement.AlreadyCounted = true
 	if w != nil {
 		g.options.InFlightChanged()
 		select {
@@ -282,10 +282,10 @@
 var errNoStamp = errors.New("gateway: success response without the target's stamp")
 
 // placingOutcome returns the outcome that the balancer is told.
-func (g *Gateway) placingOutcome(ctx context.Context, a attempt) placing.End {
+func (g *Gateway) placingOutcome(ctx context.Context, a attempt) placing.Outcome {
 	switch {
 	case a.answer != nil && isServerError(a.answer):
-		return placing.Broken
+		return placing.Failed
 	case a.answer != nil:
 		return placing.Answered
 	case a.code == result.TargetShed:
@@ -295,7 +295,7 @@
 	case a.code == result.ConnectFailed && !errors.Is(a.err, pool.ErrFull):
 		return placing.Unreachable
 	}
-	return placing.Broken
+	return placing.Failed
 }
 
 func isServerError(a *forward.Answer) bool { return a.Status >= http.StatusInternalServerError }
--- a/edge/gateway/serve.go
+++ b/edge/gateway/serve.go
@@ -63,7 +63,7 @@
 }
 
 // Handle implements serve.Handler.
-func (g *Gateway) Handle(ctx context.Context, in *serve.Request) *serve.Answer {
+func (g *Gateway) Handle(ctx context.Context, in *serve.Request) *serve.Response {
 	r := &request{in: in, id: in.Header.Get(g.options.Fields.RequestID)}
 	end := g.handle(ctx, r, g.table.Load())
 	g.record(r, end)
@@ -160,14 +160,14 @@
 }
 
 // answer converts an outcome to a response, nil if the caller is gone.
-func (g *Gateway) answer(end outcome) *serve.Answer {
+func (g *Gateway) answer(end outcome) *serve.Response {
 	if end.code == result.CallerGone {
 		return nil
 	}
 	if a := end.answer; a != nil {
-		out := &serve.Answer{Status: a.Status, Header: a.Header, Body: a.Body, NoBody: a.NoBody}
+		out := &serve.Response{Status: a.Status, Header: a.Header, Body: a.Body, NoBody: a.NoBody}
 		if length := a.LengthField(); len(length) > 0 {
-			out.Length = length[0]
+			out.ContentLength = length[0]
 		}
 		return out
 	}
@@ -177,7 +177,7 @@
 		// A 503 states that the request has not run, so callers retry any request after it.
 		status = http.StatusServiceUnavailable
 	}
-	a := serve.Plain(status, info.Name+"\n")
+	a := serve.PlainText(status, info.Name+"\n")
 	a.Header[result.HeaderResult] = []string{strconv.Itoa(int(end.code))}
 	a.Header[result.HeaderOutcome] = []string{info.Outcome.String()}
 	if status == http.StatusServiceUnavailable {
--- a/edge/placing/probe.go
+++ b/edge/placing/probe.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// probeEvery is how long after one probe the next one of the same target may begin:
+// probeInterval is how long after one probe the next one of the same target may begin:
 // longer than a probe takes.
-const probeEvery = time.Second
+const probeInterval = time.Second
 
-// Suspects returns the ejected targets that a probe may readmit now. Each is returned
+// DueProbes returns the ejected targets that a probe may readmit now. Each is returned
 // once until the outcome of its probe is taken in, or probeEvery has passed.
-func (b *Balancer) Suspects(now time.Time) []*Target {
+func (b *Balancer) DueProbes(now time.Time) []*Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var due []*Target
 	for _, s := range b.services {
 		for _, t := range s.targets {
-			if t.usable && t.probing && !now.Before(t.ejectedUntil) {
-				t.ejectedUntil = now.Add(probeEvery)
+			if t.usable && t.needsProbe && !now.Before(t.ejectedUntil) {
+				t.ejectedUntil = now.Add(probeInterval)
 				due = append(due, t)
 			}
 		}
@@ -23,20 +23,20 @@
 	return due
 }
 
-// Probed takes in the outcome of a probe; coldFor is what the target said.
-func (b *Balancer) Probed(now time.Time, t *Target, well bool, coldFor time.Duration) {
+// RecordProbe takes in the outcome of a probe; coldFor is what the target said.
+func (b *Balancer) RecordProbe(now time.Time, t *Target, healthy bool, coldFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !well {
-		t.ejection = min(max(firstEjection, 2*t.ejection), lastEjection)
+	if !healthy {
+		t.ejection = min(max(minEjection, 2*t.ejection), maxEjection)
 		t.ejectedUntil = now.Add(t.ejection)
 		return
 	}
-	t.probing = false
+	t.needsProbe = false
 	t.ejectedUntil = now
 	t.failures = 0
 	if coldFor > 0 {
-		t.coldTill = now.Add(coldFor + coldMargin)
+		t.coldUntil = now.Add(coldFor + coldMargin)
 	}
 	b.serveAll(now)
 }
