--- a/edge/gateway/delegate.go
+++ b/edge/gateway/delegate.go
@@ -45,13 +45,13 @@
 	version, err := strconv.ParseUint(in.Header.Get(fieldVersion), 10, 64)
 	table := g.table.Load()
 	if err != nil || table == nil || table.Version != version || g.leaving.Load() {
-		return declinedAnswer()
+		return declinedResponse()
 	}
 	in.Header.Del(fieldVersion)
 	r := &request{in: in, id: in.Header.Get(g.options.Fields.RequestID), fromPeer: true}
 	end := g.handle(ctx, r, table)
 	g.record(r, end)
-	a := g.answer(end)
+	a := g.response(end)
 	if a != nil {
 		a.Header[result.HeaderResult] = []string{strconv.Itoa(int(end.code))}
 		a.Header[fieldOwnerMillis] = []string{strconv.FormatInt(time.Since(in.Arrived).Milliseconds(), 10)}
@@ -59,7 +59,7 @@
 	return a
 }
 
-func declinedAnswer() *serve.Response {
+func declinedResponse() *serve.Response {
 	a := serve.PlainText(http.StatusServiceUnavailable, "")
 	a.Header[fieldDeclined] = []string{"1"}
 	return a
--- a/edge/gateway/serve.go
+++ b/edge/gateway/serve.go
@@ -67,7 +67,7 @@
 	r := &request{in: in, id: in.Header.Get(g.options.Fields.RequestID)}
 	end := g.handle(ctx, r, g.table.Load())
 	g.record(r, end)
-	return g.answer(end)
+	return g.response(end)
 }
 
 // handle processes a request; table is nil before the first configuration.
@@ -159,8 +159,8 @@
 	return left, true
 }
 
-// answer converts an outcome to a response, nil if the caller is gone.
-func (g *Gateway) answer(end outcome) *serve.Response {
+// response converts an outcome to a response, nil if the caller is gone.
+func (g *Gateway) response(end outcome) *serve.Response {
 	if end.code == result.CallerGone {
 		return nil
 	}
