--- a/edge/quarantine/answers_test.go
+++ b/edge/quarantine/answers_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against an answer that counts for ever, and memory that grows with the requests.
-func TestAnswersAreForgotten(t *testing.T) {
+// Guards against answers that count for ever, and memory that grows with the number of requests.
+func TestAnswersExpire(t *testing.T) {
 	var a answers
 	f := requestNamed("f")
 	if a.has(start, f) {
@@ -14,7 +14,7 @@
 	}
 	a.add(start, f)
 	if !a.has(start.Add(answerTTL), f) || a.has(start.Add(2*answerTTL), f) {
-		t.Error("an answer is not remembered for one turn and forgotten after the second")
+		t.Error("an answer is not remembered for answerTTL or not forgotten after twice that")
 	}
 	for i := range 3 * maxAnswers {
 		a.add(start.Add(2*answerTTL), requestNamed(fmt.Sprint(i)))
--- a/edge/quarantine/fingerprint_bench_test.go
+++ b/edge/quarantine/fingerprint_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkFingerprint is what each answered request costs.
+// BenchmarkFingerprint measures the cost for each answered request.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
--- a/edge/quarantine/fingerprint_test.go
+++ b/edge/quarantine/fingerprint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against a request that is taken for another one, or not known again.
-func TestFingerprintIsOfTheWholeContent(t *testing.T) {
+// Guards against different requests with the same fingerprint, and repetitions with another one.
+func TestFingerprintCoversContent(t *testing.T) {
 	base := Content{Method: "POST", Host: "h", Target: "/a/b?c=1", Account: "x", Authorization: "y", Body: []byte("order")}
 	others := map[string]func(*Content){
 		"method":        func(c *Content) { c.Method = "PUT" },
--- a/edge/quarantine/quarantine.go
+++ b/edge/quarantine/quarantine.go
@@ -162,8 +162,8 @@
 	return q.journal.Pending(now, otherRegions)
 }
 
-// ClaimTrial claims a due trial of a quarantined request in the store, which grants it to one VM. It
-// returns true if the request may be sent to one target.
+// ClaimTrial claims a due trial of a quarantined request in the store, so that only one VM makes
+// it. It returns true if the request may be sent to one target.
 func (q *Quarantine) ClaimTrial(ctx context.Context, now time.Time, f Fingerprint) bool {
 	record, at, due := q.table.ClaimTrial(now, f)
 	if !due {
--- a/edge/quarantine/replay_test.go
+++ b/edge/quarantine/replay_test.go
@@ -21,28 +21,28 @@
 const (
 	simRegions = 6
 	simVMs     = 550
-	// simListeners of each region get its reports and tell the others.
-	simListeners = 2
-	// sameRegion and otherRegion are the delays of reports, byStore is the time in which a record
-	// reaches all VMs.
-	sameRegion  = 5 * time.Millisecond
-	otherRegion = 60 * time.Millisecond
-	byStore     = 900 * time.Millisecond
-	// heartbeat is the time between two reports without news, reportPause the shortest time.
-	heartbeat   = 250 * time.Millisecond
-	reportPause = 150 * time.Millisecond
-	// simLoss is the share of reports that is lost.
+	// simAggregators of each region receive its reports and forward the events.
+	simAggregators = 2
+	// sameRegionDelay and otherRegionDelay are the delays of reports, storeDelay is the time until a
+	// record reaches all VMs.
+	sameRegionDelay  = 5 * time.Millisecond
+	otherRegionDelay = 60 * time.Millisecond
+	storeDelay       = 900 * time.Millisecond
+	// heartbeatInterval is the longest time between two reports, minReportInterval the shortest.
+	heartbeatInterval = 250 * time.Millisecond
+	minReportInterval = 150 * time.Millisecond
+	// simLoss is the fraction of reports that is lost.
 	simLoss = 0.05
-	// inTouch is how long after its third end a request may reach targets because VMs have not
-	// heard of it, and simLater how often it may after that.
-	inTouch  = 3 * time.Second
-	simLater = 3
-	// Innocent requests may be refused while VMs have not heard that they were answered: a few,
-	// and one in innocentShare.
-	innocentFew   = 5
-	innocentShare = 500
-	// bytesPerSecond is what control may take of each VM's link. maxEventBytes fits into any
-	// report beside the counts.
+	// propagationTime is how long after its third crash a request may still crash targets because
+	// VMs do not know it, and maxLateCrashes the limit of crashes after that.
+	propagationTime = 3 * time.Second
+	maxLateCrashes  = 3
+	// Innocent requests may be refused before VMs learn that they were answered: refusalAllowance
+	// times, and once for each requestsPerRefusal requests.
+	refusalAllowance   = 5
+	requestsPerRefusal = 500
+	// bytesPerSecond is the limit for control traffic of each VM. maxEventBytes fits into any report
+	// together with the counts.
 	bytesPerSecond = 3000
 	maxEventBytes  = 2 << 10
 )
@@ -55,39 +55,39 @@
 // simVM is one VM of a simulated fleet.
 type simVM struct {
 	*Quarantine
-	name    string
-	region  int
-	listens bool
-	// cut VMs get no reports, send none and do not reach the store. VMs get reports of their own
-	// part of the network only.
-	cut  bool
-	part int
-	// reported is when it reported last, reporting tells that it will soon.
-	reported  time.Time
-	reporting bool
+	name       string
+	region     int
+	aggregator bool
+	// isolated VMs neither receive nor send reports and do not reach the store. Others receive
+	// reports of their own network partition only.
+	isolated  bool
+	partition int
+	// reportedAt is the time of the last report, reportPending is true if the next is scheduled.
+	reportedAt    time.Time
+	reportPending bool
 }
 
-// simFleet is a fleet whose VMs report to each other as in a large region, in virtual time.
+// simFleet simulates a fleet of large regions in virtual time.
 type simFleet struct {
 	now    time.Time
 	events simEvents
 	random *rand.Rand
 	kv     *memkv.Store
 	vms    []*simVM
-	// reports and bytes count what was sent, maxBytes is the largest report.
+	// reports and bytes count what was sent, maxBytes is the size of the largest report.
 	reports, bytes, maxBytes, storeCalls int
-	// calls orders events of the same time.
-	calls int
+	// scheduled numbers the events, to order those at the same time.
+	scheduled int
 }
 
-// simEvent is something that happens at a time.
+// simEvent is a scheduled action.
 type simEvent struct {
-	at    time.Time
-	order int
-	do    func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
-// simEvents are events to come, the next one first.
+// simEvents is a heap of events, the next one first.
 type simEvents []simEvent
 
 func (e simEvents) Len() int      { return len(e) }
@@ -95,7 +95,7 @@
 func (e *simEvents) Push(x any)   { *e = append(*e, x.(simEvent)) }
 func (e simEvents) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].order < e[j].order
+		return e[i].sequence < e[j].sequence
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -109,86 +109,86 @@
 func newSimFleet(seed uint64) *simFleet {
 	f := &simFleet{now: start, random: rand.New(rand.NewPCG(seed, 0)), kv: memkv.New(memkv.Options{})}
 	for i := range simVMs {
-		f.join(i%simRegions, i < simRegions*simListeners)
+		f.join(i%simRegions, i < simRegions*simAggregators)
 	}
 	return f
 }
 
-// after has something happen later.
-func (f *simFleet) after(d time.Duration, do func()) {
-	f.calls++
-	heap.Push(&f.events, simEvent{f.now.Add(d), f.calls, do})
+// schedule schedules an action after a delay.
+func (f *simFleet) schedule(d time.Duration, do func()) {
+	f.scheduled++
+	heap.Push(&f.events, simEvent{f.now.Add(d), f.scheduled, do})
 }
 
-// advance lets time pass.
+// advance runs the events that are due within a duration.
 func (f *simFleet) advance(d time.Duration) {
 	until := f.now.Add(d)
 	for len(f.events) > 0 && !f.events[0].at.After(until) {
 		e := heap.Pop(&f.events).(simEvent)
 		f.now = e.at
-		e.do()
+		e.run()
 	}
 	f.now = until
 }
 
-// join adds a VM that reads the store's records first, as VMs do at their start.
+// join adds a VM, which reads the records in the store first, as VMs do at their start.
 func (f *simFleet) join(region int, listens bool) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.PanicLevel)
-	v := &simVM{name: fmt.Sprint("vm-", len(f.vms)), region: region, listens: listens}
+	v := &simVM{name: fmt.Sprint("vm-", len(f.vms)), region: region, aggregator: listens}
 	v.Quarantine = New(Options{
 		VM: v.name, KV: simStore{f.kv, f, v}, Keys: simKeys{}, Logger: logrus.NewEntry(log), EventAdded: func() { f.reportSoon(v) },
 	})
 	f.readStore(v)
 	f.vms = append(f.vms, v)
-	f.beat(v)
+	f.runHeartbeat(v)
 }
 
-// beat reports and does what is due, again and again.
-func (f *simFleet) beat(v *simVM) {
+// runHeartbeat reports, makes the due writes and schedules the next heartbeat.
+func (f *simFleet) runHeartbeat(v *simVM) {
 	f.report(v)
-	if !v.cut {
+	if !v.isolated {
 		v.table.Expire(f.now)
-		for _, w := range v.table.DueWrites(f.now, v.listens) {
+		for _, w := range v.table.DueWrites(f.now, v.aggregator) {
 			v.executeWrite(context.Background(), w)
 			v.table.WriteDone(f.now, w.Request)
 		}
 	}
-	f.after(heartbeat, func() { f.beat(v) })
+	f.schedule(heartbeatInterval, func() { f.runHeartbeat(v) })
 }
 
-// reportSoon reports as soon as reportPause allows.
+// reportSoon schedules a report as soon as minReportInterval allows.
 func (f *simFleet) reportSoon(v *simVM) {
-	if v.reporting {
+	if v.reportPending {
 		return
 	}
-	v.reporting = true
-	f.after(max(0, v.reported.Add(reportPause).Sub(f.now)), func() { f.report(v) })
+	v.reportPending = true
+	f.schedule(max(0, v.reportedAt.Add(minReportInterval).Sub(f.now)), func() { f.report(v) })
 }
 
-// report sends what a VM has to tell: to the listeners of its region; a listener to all others
-// of it, and to the listeners of other regions.
+// report sends the pending events of a VM: to the aggregators of its region; from an aggregator to
+// all VMs of its region, and to the aggregators of other regions.
 func (f *simFleet) report(v *simVM) {
-	v.reported, v.reporting = f.now, false
+	v.reportedAt, v.reportPending = f.now, false
 	near, far := v.PendingEvents(f.now, true), v.PendingEvents(f.now, false)
-	if len(near) == 0 || v.cut {
+	if len(near) == 0 || v.isolated {
 		return
 	}
-	nearBytes, farBytes := f.bytesOf(near), f.bytesOf(far)
+	nearBytes, farBytes := f.encodedSize(near), f.encodedSize(far)
 	for _, to := range f.vms {
 		switch {
-		case to == v || to.cut || to.part != v.part || f.random.Float64() < simLoss:
-		case to.region == v.region && (v.listens || to.listens):
-			f.deliver(v, to, near, nearBytes, sameRegion)
-		case to.region != v.region && v.listens && to.listens && len(far) > 0:
-			f.deliver(v, to, far, farBytes, otherRegion)
+		case to == v || to.isolated || to.partition != v.partition || f.random.Float64() < simLoss:
+		case to.region == v.region && (v.aggregator || to.aggregator):
+			f.deliver(v, to, near, nearBytes, sameRegionDelay)
+		case to.region != v.region && v.aggregator && to.aggregator && len(far) > 0:
+			f.deliver(v, to, far, farBytes, otherRegionDelay)
 		}
 	}
 }
 
-// bytesOf is what events add to a report.
-func (f *simFleet) bytesOf(events []Event) int {
+// encodedSize returns the number of bytes that events add to a report.
+func (f *simFleet) encodedSize(events []Event) int {
 	text, err := msgpack.Marshal(events)
 	if err != nil {
 		panic(err)
@@ -200,14 +200,14 @@
 func (f *simFleet) deliver(from, to *simVM, events []Event, bytes int, after time.Duration) {
 	f.reports++
 	f.bytes += bytes
-	f.after(after, func() {
+	f.schedule(after, func() {
 		for _, e := range events {
-			to.Received(f.now, e, Origin{VM: from.name, Relay: to.listens, OtherRegion: from.region != to.region})
+			to.Received(f.now, e, Origin{VM: from.name, Relay: to.aggregator, OtherRegion: from.region != to.region})
 		}
 	})
 }
 
-// simStore is the store as one VM reaches it; each write reaches all VMs a moment later.
+// simStore is the store as seen by one VM. Each write reaches all VMs after storeDelay.
 type simStore struct {
 	store.KV
 	fleet *simFleet
@@ -215,39 +215,39 @@
 }
 
 func (s simStore) Swap(ctx context.Context, key string, value []byte, expected store.Revision, lease store.LeaseID) (store.Revision, error) {
-	if s.vm.cut {
+	if s.vm.isolated {
 		return 0, store.ErrUnavailable
 	}
 	at, err := s.KV.Swap(ctx, key, value, expected, lease)
-	s.fleet.spread(err)
+	s.fleet.propagate(err)
 	return at, err
 }
 
 func (s simStore) Delete(ctx context.Context, key string, expected store.Revision) error {
-	if s.vm.cut {
+	if s.vm.isolated {
 		return store.ErrUnavailable
 	}
 	err := s.KV.Delete(ctx, key, expected)
-	s.fleet.spread(err)
+	s.fleet.propagate(err)
 	return err
 }
 
-func (f *simFleet) spread(err error) {
+func (f *simFleet) propagate(err error) {
 	f.storeCalls++
 	if err != nil {
 		return
 	}
-	f.after(byStore, func() {
+	f.schedule(storeDelay, func() {
 		for _, v := range f.vms {
 			f.readStore(v)
 		}
 	})
 }
 
-// readStore has a VM take in all records.
+// readStore applies all records in the store at a VM.
 func (f *simFleet) readStore(v *simVM) {
 	list, err := f.kv.List(context.Background(), "q/")
-	if v.cut || err != nil {
+	if v.isolated || err != nil {
 		return
 	}
 	present := make(map[Fingerprint]bool)
@@ -259,15 +259,15 @@
 		}
 	}
 	v.Apply(f.now, changes)
-	for _, request := range v.recorded() {
+	for _, request := range v.recordedRequests() {
 		if !present[request] {
 			v.Apply(f.now, []replica.Change{{Removed: true, Entry: store.Entry{Key: "q/" + request.String()}}})
 		}
 	}
 }
 
-// recorded returns the requests of which a VM knows a record.
-func (q *Quarantine) recorded() (list []Fingerprint) {
+// recordedRequests returns the requests with a record known to the VM.
+func (q *Quarantine) recordedRequests() (list []Fingerprint) {
 	q.table.mu.Lock()
 	defer q.table.mu.Unlock()
 	for f, s := range q.table.suspects {
@@ -278,57 +278,56 @@
 	return list
 }
 
-// sent is a request that ends targets, and what became of it.
-type sent struct {
-	f         Fingerprint
-	ends      int
-	thirdEnd  time.Time
-	laterEnds int
+// poisonRequest is a request that crashes targets, with the number of its crashes.
+type poisonRequest struct {
+	fingerprint   Fingerprint
+	crashes       int
+	quarantinedAt time.Time
+	lateCrashes   int
 }
 
-// ask brings the request to a VM. It ends a target if it is sent to one.
-func (s *sent) ask(now time.Time, v *simVM, target uint64) {
-	verdict := v.Verdict(now, s.f)
-	if verdict.Status == Quarantined || verdict.Status == TrialDue && !v.ClaimTrial(context.Background(), now, s.f) {
+// send sends the request to a VM. It crashes the target if the VM forwards it.
+func (p *poisonRequest) send(now time.Time, v *simVM, target uint64) {
+	verdict := v.Verdict(now, p.fingerprint)
+	if verdict.Status == Quarantined || verdict.Status == TrialDue && !v.ClaimTrial(context.Background(), now, p.fingerprint) {
 		return
 	}
-	s.ends++
-	if s.ends == quarantineThreshold {
-		s.thirdEnd = now
+	p.crashes++
+	if p.crashes == quarantineThreshold {
+		p.quarantinedAt = now
 	}
-	if s.ends > quarantineThreshold && now.After(s.thirdEnd.Add(inTouch)) {
-		s.laterEnds++
+	if p.crashes > quarantineThreshold && now.After(p.quarantinedAt.Add(propagationTime)) {
+		p.lateCrashes++
 	}
-	v.TargetCrashed(now, s.f, target)
+	v.TargetCrashed(now, p.fingerprint, target)
 }
 
-// Load: four requests that end each target come again at any of 550 VMs, 20 times a second each.
-// One VM is cut off from all others and the store at first, and one starts later. Each target
-// takes an innocent request along that comes once, and one that many callers send all the time.
-func TestRequestsThatEndTargetsAreStoppedInALargeFleet(t *testing.T) {
+// Four poison requests are repeated at random VMs of a large fleet, where one VM is isolated at
+// first and one starts later. Innocent requests share the targets: some come once, one often.
+func TestPoisonRequestsAreStoppedInLargeFleet(t *testing.T) {
 	for seed := range uint64(2) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { replayRepeats(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { replayPoisonRequests(t, seed) })
 	}
 }
 
-func replayRepeats(t *testing.T, seed uint64) {
+func replayPoisonRequests(t *testing.T, seed uint64) {
 	f := newSimFleet(seed)
 	random := rand.New(rand.NewPCG(seed, 1))
 	popular := requestNamed("popular")
-	bad := []*sent{{f: requestNamed("a")}, {f: requestNamed("b")}, {f: requestNamed("c")}, {f: requestNamed("d")}}
+	poison := []*poisonRequest{{fingerprint: requestNamed("a")}, {fingerprint: requestNamed("b")}, {fingerprint: requestNamed("c")}, {fingerprint: requestNamed("d")}}
 	cut := f.vms[100]
-	cut.cut = true
+	cut.isolated = true
 	target, refused, innocent := uint64(0), 0, 0
 	for step := range 600 {
 		f.advance(50 * time.Millisecond)
 		switch step {
 		case 200:
-			cut.cut = false
+			cut.isolated = false
 			f.readStore(cut)
 		case 400:
 			f.join(0, false)
 		}
-		for _, s := range bad {
+		for _, s := range poison {
 			v := f.vms[random.IntN(len(f.vms))]
 			if step%20 == 0 && step >= 300 {
 				v = cut
@@ -337,9 +336,9 @@
 				v = f.vms[len(f.vms)-1]
 			}
 			target++
-			before := s.ends
-			s.ask(f.now, v, target)
-			if s.ends > before {
+			before := s.crashes
+			s.send(f.now, v, target)
+			if s.crashes > before {
 				v.TargetCrashed(f.now, requestNamed(fmt.Sprint("once ", target)), target)
 				v.TargetCrashed(f.now, popular, target)
 			}
@@ -354,30 +353,30 @@
 			v.Answered(f.now, popular)
 		}
 	}
-	for i, s := range bad {
-		t.Logf("request %d ended %d targets", i, s.ends)
-		if s.laterEnds > simLater {
-			t.Errorf("request %d ended %d targets when all VMs should have known of it, %d allowed", i, s.laterEnds, simLater)
+	for i, s := range poison {
+		t.Logf("request %d crashed %d targets", i, s.crashes)
+		if s.lateCrashes > maxLateCrashes {
+			t.Errorf("request %d crashed %d targets after propagationTime, %d allowed", i, s.lateCrashes, maxLateCrashes)
 		}
 	}
-	if refused > innocentFew+innocent/innocentShare {
+	if refused > refusalAllowance+innocent/requestsPerRefusal {
 		t.Errorf("the innocent request was refused %d of %d times", refused, innocent)
 	}
 	f.checkCost(t)
 }
 
-// checkCost compares the cost with what control may take.
+// checkCost compares the traffic and report sizes with their limits.
 func (f *simFleet) checkCost(t *testing.T) {
 	perSecond := float64(f.bytes) / simVMs / f.now.Sub(start).Seconds()
-	t.Logf("%d reports, %.0f bytes a second for each VM, the largest %d, %d calls to the store", f.reports, perSecond, f.maxBytes, f.storeCalls)
+	t.Logf("%d reports, %.0f bytes/s for each VM, the largest %d bytes, %d calls to the store", f.reports, perSecond, f.maxBytes, f.storeCalls)
 	if perSecond > bytesPerSecond || f.maxBytes > maxEventBytes {
-		t.Errorf("more than %d bytes a second for each VM, or than %d in one report", bytesPerSecond, maxEventBytes)
+		t.Errorf("more than %d bytes/s for each VM, or than %d bytes in one report", bytesPerSecond, maxEventBytes)
 	}
 }
 
-// Load: 100 targets crash at once. Each had a popular request, which comes at all VMs before and
-// after, and three that come once.
-func TestInnocentRequestsOfACrashAreServed(t *testing.T) {
+// Guards against refusing innocent requests when 100 targets crash at once. Each had a popular
+// request, which all VMs receive before and after, and three that come once.
+func TestInnocentRequestsAreServedAfterCrashes(t *testing.T) {
 	f := newSimFleet(1)
 	random := rand.New(rand.NewPCG(1, 1))
 	popular := requestNamed("popular")
@@ -402,7 +401,7 @@
 		}
 		v.Answered(f.now, popular)
 	}
-	if refused > innocentFew+innocent/innocentShare {
+	if refused > refusalAllowance+innocent/requestsPerRefusal {
 		t.Errorf("the innocent request was refused %d of %d times", refused, innocent)
 	}
 	if _, quarantined := f.vms[0].Counts(); quarantined > 0 || f.storeCalls > 0 {
@@ -411,27 +410,27 @@
 	f.checkCost(t)
 }
 
-// Load: a request comes once in five seconds, and each VM that gets it sends it to two targets.
-// The network between VMs is in three parts, and all of them reach the store.
-func TestPartsOfANetworkCountTogether(t *testing.T) {
+// Guards against crashes that are counted separately in each of three network partitions, all of
+// which reach the store.
+func TestPartitionsShareCrashCounts(t *testing.T) {
 	f := newSimFleet(1)
 	for i, v := range f.vms {
-		v.part = i % 3
+		v.partition = i % 3
 	}
-	bad, target := &sent{f: requestNamed("bad")}, uint64(0)
+	poison, target := &poisonRequest{fingerprint: requestNamed("bad")}, uint64(0)
 	for arrival := range 24 {
 		v := f.vms[arrival]
 		for range 2 {
 			target++
-			bad.ask(f.now, v, target)
-			if v.Verdict(f.now, bad.f).Status != Clear {
+			poison.send(f.now, v, target)
+			if v.Verdict(f.now, poison.fingerprint).Status != Clear {
 				break
 			}
 		}
 		f.advance(5 * time.Second)
 	}
-	t.Logf("%d targets ended, %d late", bad.ends, bad.laterEnds)
-	if bad.laterEnds > simLater {
-		t.Errorf("it ended %d targets when all VMs should have known of it, %d allowed", bad.laterEnds, simLater)
+	t.Logf("%d targets crashed, %d late", poison.crashes, poison.lateCrashes)
+	if poison.lateCrashes > maxLateCrashes {
+		t.Errorf("it crashed %d targets after propagationTime, %d allowed", poison.lateCrashes, maxLateCrashes)
 	}
 }
