--- a/cmd/yuccaentry/main.go
+++ b/cmd/yuccaentry/main.go
@@ -103,7 +103,7 @@
 		}
 		reload(file, logger)
 	}
-	e.Leave()
+	e.Shutdown()
 	logs.Flush(logger, flushTime)
 	return nil
 }
@@ -128,14 +128,14 @@
 	}
 	return entry.Options{
 		VM: site.VM{
-			Name: s.Node.Name, Region: s.Node.Region, Zone: s.Node.Zone, Entry: s.Listen.Entry, Peer: peer,
+			Name: s.Node.Name, Region: s.Node.Region, Zone: s.Node.Zone, EntryAddress: s.Listen.Entry, PeerAddress: peer,
 			Incarnation: uint64(time.Now().UnixMicro()), LinkMbps: s.Limits.LinkMbps,
 		},
 		EntryAddress: s.Listen.Entry, ReadyAddress: s.Listen.Ready, DirectoryAddress: s.Listen.Directory,
 		PeerAddress: peer, MetricsAddress: metrics, RegionOf: s.Zones,
 		Names: entry.Names{
 			Fields: platform.Fields, ResolvePath: platform.PathResolve, ReadyPath: platform.PathReady,
-			VMKey: items.VMKey(s.Node.Name), Caller: platform.Caller, Resolved: platform.Resolved,
+			VMKey: items.VMKey(s.Node.Name), ParseCaller: platform.Caller, EncodeAddresses: platform.Resolved,
 		},
 		Codec: items, QuarantineKeys: items, KV: client, Logger: logger,
 		MemoryBytes: memory, MaxConnections: max(64, s.Limits.MaxFiles-filesForTargets),
--- a/edge/entry/entry.go
+++ b/edge/entry/entry.go
@@ -86,15 +86,15 @@
 	e.counts = newCounts(e.metrics.Scope)
 	e.owners = owners.New(o.VM)
 	e.balancer = placing.New(placing.Options{
-		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, Delay: e.delays.get,
+		VM: o.VM.Name, Zone: o.VM.Zone, Region: o.VM.Region, RegionOf: o.RegionOf, RTT: e.delays.get,
 	})
 	e.quarantine = quarantine.New(quarantine.Options{
 		VM: o.VM.Name, KV: o.KV, Keys: o.QuarantineKeys, Logger: e.part("quarantine"), EventAdded: e.urgent,
 	})
 	e.gateway = gateway.New(gateway.Options{
 		Fields: o.Names.Fields, Balancer: e.balancer, Logger: e.part("gateway"), Metrics: e.counts,
-		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMs: e.members.Count, Delay: e.delays.get,
-		Changed: e.changed, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: answerBytes,
+		RetryRatio: o.RetryRatio, RetryExtra: o.RetryExtra, VMCount: e.members.Count, RTT: e.delays.get,
+		InFlightChanged: e.changed, Owners: e.owners, Quarantine: e.quarantine, MaxAnswerBytes: answerBytes,
 	})
 	e.catalog = catalog.New(catalog.Options{Codec: o.Codec, Logger: e.part("catalog"), Changed: e.setView, Now: time.Now})
 	e.replica = replica.New(replica.Options{
@@ -238,7 +238,7 @@
 	e.tellVMs(now)
 	e.gateway.SetView(v, now)
 	for _, vm := range e.members.Others() {
-		e.delays.measure(vm.Region, vm.Peer)
+		e.delays.measure(vm.Region, vm.PeerAddress)
 	}
 }
 
@@ -248,13 +248,13 @@
 	e.regionState.setSharers(names)
 	e.balancer.SetVMs(names)
 	if live, known := e.members.LiveInDomain(now); known && !e.leaving.Load() {
-		e.owners.Set(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
+		e.owners.SetVMs(live, func(vm site.VM) bool { return e.members.IsResponsive(vm, now) })
 	}
-	e.balancer.SetKeyDivision(e.owners.Divided())
+	e.balancer.SetKeyOwnerCount(e.owners.EffectiveVMs())
 }
 
 // busy returns the requests of callers and other VMs whose answers are not wholly given.
-func (e *Entry) busy() int { return e.front.Busy() + e.peer.Busy() }
+func (e *Entry) busy() int { return e.front.InFlight() + e.peer.InFlight() }
 
 // serving reports whether callers may be sent here.
 func (e *Entry) serving() bool { return e.gateway.Ready() && !e.leaving.Load() }
@@ -291,15 +291,15 @@
 	return "/"
 }
 
-// Leave is a planned stop: callers are sent elsewhere, the requests in flight end,
+// Shutdown is a planned stop: callers are sent elsewhere, the requests in flight end,
 // and the VM is off the list. It returns when the process may exit.
-func (e *Entry) Leave() {
+func (e *Entry) Shutdown() {
 	began := time.Now()
 	e.leaving.Store(true)
 	e.part("entry").WithField("busy", e.busy()).Info("entry: leaving")
 	e.talk.Flush()
 	e.unlist()
-	e.front.Part()
+	e.front.DisableKeepAlives()
 	time.Sleep(stopTaking)
 	e.gateway.Leave()
 	e.front.StopListening()
--- a/edge/entry/entry_test.go
+++ b/edge/entry/entry_test.go
@@ -111,7 +111,7 @@
 		Version: version, Services: map[string]site.Service{"s": {Name: "s", HealthPath: "/health"}},
 		Routes: []site.Route{{
 			Name: "r", Host: "h", Prefix: prefix, Timeout: 5 * time.Second, Objective: time.Second, MaxAttempts: 2, Sticky: true,
-			Parts: []site.Part{{Service: "s", Weight: 1}},
+			Services: []site.WeightedService{{Service: "s", Weight: 1}},
 		}},
 		Limits: site.Limits{HeaderBytes: 8192, BodyBytes: 1 << 20, HeaderTime: time.Second, IdleTime: time.Minute},
 	})
@@ -138,13 +138,13 @@
 		RetryRatio: 0.2, RetryExtra: 50, MetricsAddress: f.host.Address(),
 		Names: entry.Names{
 			Fields: names, ResolvePath: "/resolve", ReadyPath: "/ready", VMKey: "vm/" + name,
-			Caller: func(q url.Values) (string, string) { return q.Get("zone"), q.Get("region") },
-			Resolved: func(addresses []string, ttl time.Duration) *serve.Answer {
-				return serve.Plain(http.StatusOK, strings.Join(addresses, ","))
+			ParseCaller: func(q url.Values) (string, string) { return q.Get("zone"), q.Get("region") },
+			EncodeAddresses: func(addresses []string, ttl time.Duration) *serve.Response {
+				return serve.PlainText(http.StatusOK, strings.Join(addresses, ","))
 			},
 		},
 	}
-	o.VM = site.VM{Name: name, Region: regions[zone], Zone: zone, Entry: o.EntryAddress, Peer: peer, Incarnation: uint64(time.Now().UnixMicro())}
+	o.VM = site.VM{Name: name, Region: regions[zone], Zone: zone, EntryAddress: o.EntryAddress, PeerAddress: peer, Incarnation: uint64(time.Now().UnixMicro())}
 	e, err := entry.Start(o)
 	if err != nil {
 		f.t.Fatal(err)
@@ -262,7 +262,7 @@
 		return body == both || body == reverse
 	})
 	stopped := make(chan struct{})
-	go func() { a.Leave(); close(stopped) }()
+	go func() { a.Shutdown(); close(stopped) }()
 	until(t, "the directory names a VM that leaves", func() bool {
 		_, body := get(b.options.DirectoryAddress, "/resolve?zone=n1&region=n")
 		return body == b.options.EntryAddress
@@ -310,7 +310,7 @@
 		defer f.mu.Unlock()
 		return f.served > 0
 	})
-	go leaver.Leave()
+	go leaver.Shutdown()
 	for range requests {
 		// Some are refused, as the only target is full; none may be lost.
 		if status := <-statuses; status != http.StatusOK && status != http.StatusServiceUnavailable {
--- a/edge/exchange/counts.go
+++ b/edge/exchange/counts.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Counts are requests in flight by the key of their target, see placing.KeyOf. They are encoded
+// Counts are requests in flight by the key of their target, see placing.TargetKey. They are encoded
 // compactly, as an aggregator sends those of all targets: the sorted keys as differences, each
 // with its count, as unsigned varints.
 type Counts map[uint32]int
--- a/edge/gateway/run.go
+++ b/edge/gateway/run.go
@@ -83,9 +83,9 @@
 func (g *Gateway) place(ctx context.Context, j *job) (placing.Decision, outcome) {
 	began := time.Now()
 	d, w := g.options.Balancer.Place(began, &j.ask)
-	j.ask.Again = true
+	j.ask.AlreadyCounted = true
 	if w != nil {
-		g.options.Changed()
+		g.options.InFlightChanged()
 		select {
 		case d = <-w.Decided():
 		case <-ctx.Done():
@@ -104,7 +104,7 @@
 		}
 		return d, outcome{code: code, retryAfter: d.RetryAfter, why: d.Reason.String()}
 	}
-	g.options.Changed()
+	g.options.InFlightChanged()
 	return d, outcome{}
 }
 
@@ -210,7 +210,7 @@
 	}
 	j.log.ends = append(j.log.ends, end)
 	j.log.tookMS = append(j.log.tookMS, t.took.Milliseconds())
-	g.options.Metrics.Sent(j.service, t.code.String())
+	g.options.Metrics.AttemptEnded(j.service, t.code.String())
 	g.noteAnswer(j, t)
 	g.noteUnanswered(j, t)
 }
@@ -221,7 +221,7 @@
 	t := g.exchangeOn(ctx, j, d)
 	t.took = time.Since(began)
 	g.options.Balancer.Done(time.Now(), d, j.class, g.endOf(ctx, t), t.took)
-	g.options.Changed()
+	g.options.InFlightChanged()
 	return t
 }
 
@@ -285,10 +285,10 @@
 var errNoStamp = errors.New("gateway: success without the target's mark")
 
 // endOf tells the board how a sending ended.
-func (g *Gateway) endOf(ctx context.Context, t try) placing.End {
+func (g *Gateway) endOf(ctx context.Context, t try) placing.Outcome {
 	switch {
 	case t.answer != nil && isServerError(t.answer):
-		return placing.Broken
+		return placing.Failed
 	case t.answer != nil:
 		return placing.Answered
 	case t.code == result.TargetShed:
@@ -298,7 +298,7 @@
 	case t.code == result.ConnectFailed && !errors.Is(t.err, pool.ErrFull):
 		return placing.Unreachable
 	}
-	return placing.Broken
+	return placing.Failed
 }
 
 func isServerError(a *forward.Answer) bool { return a.Status >= http.StatusInternalServerError }
--- a/edge/peers/peers.go
+++ b/edge/peers/peers.go
@@ -293,12 +293,12 @@
 	defer m.mu.Unlock()
 	var sameZone, sameRegion, any []string
 	consider := func(vm site.VM) {
-		any = append(any, vm.Entry)
+		any = append(any, vm.EntryAddress)
 		if vm.Region == region {
-			sameRegion = append(sameRegion, vm.Entry)
+			sameRegion = append(sameRegion, vm.EntryAddress)
 		}
 		if vm.Zone == zone {
-			sameZone = append(sameZone, vm.Entry)
+			sameZone = append(sameZone, vm.EntryAddress)
 		}
 	}
 	if own {
