--- a/edge/peers/peers_test.go
+++ b/edge/peers/peers_test.go
@@ -205,29 +205,29 @@
 	}
 	for _, dead := range []map[string]bool{nil, {"vm-004": true}, {"vm-000": true, "vm-005": true}} {
 		topologies := topologiesOf(vms, dead)
-		listener := ""
+		aggregator := ""
 		for _, vm := range vms {
 			if !dead[vm.Name] {
-				listener = topologies[vm.Name].Aggregators[0].Name
+				aggregator = topologies[vm.Name].Aggregators[0].Name
 				break
 			}
 		}
 		got := make(map[string]int)
-		for _, vm := range topologies[listener].SameDomain {
+		for _, vm := range topologies[aggregator].SameDomain {
 			got[vm.Name]++
 		}
-		if n := len(topologies[listener].Relays); n != 2 {
+		if n := len(topologies[aggregator].Relays); n != 2 {
 			t.Errorf("%d relays", n)
 		}
-		for _, relay := range topologies[listener].Relays {
+		for _, relay := range topologies[aggregator].Relays {
 			got[relay.Name]++
 			for _, vm := range topologies[relay.Name].SameDomain {
 				got[vm.Name]++
 			}
 		}
 		for _, vm := range vms {
-			isListener := slices.ContainsFunc(topologies[listener].Aggregators, func(l site.VM) bool { return l.Name == vm.Name })
-			if !isListener && !dead[vm.Name] && got[vm.Name] != 1 {
+			isAggregator := slices.ContainsFunc(topologies[aggregator].Aggregators, func(a site.VM) bool { return a.Name == vm.Name })
+			if !isAggregator && !dead[vm.Name] && got[vm.Name] != 1 {
 				t.Errorf("dead %v: %s receives %d digests", dead, vm.Name, got[vm.Name])
 			}
 		}
